--- a/lab/fleet/simulated.py
+++ b/lab/fleet/simulated.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable
 
 from standflow.fleet.membership import TICK_SECONDS, MemberSettings, Membership
-from standflow.fleet.messages import Message, decode, encode, key_of, updates_per_datagram
+from standflow.fleet.messages import Message, decode, derive_key, encode, updates_per_datagram
 from standflow.fleet.outbox import Send
 
-KEY = key_of("simulated")
+KEY = derive_key("simulated")
 
 
 class Members:
@@ -98,7 +98,7 @@
             return
         if member_id not in self.stopped:
             self._carry(member_id, membership.tick(self.now))
-        self._after(membership.pace, lambda: self._tick(member_id, membership))
+        self._after(membership.tick_interval, lambda: self._tick(member_id, membership))
 
     def _carry(self, sender: int, sends: list[Send]) -> None:
         for send in sends:
@@ -123,6 +123,6 @@
         message: Message | None = decode(content, KEY)
         if membership is not None and message is not None:
             before = membership.counts.taken
-            self._carry(to, membership.hear(self.now, message, ("127.0.0.1", sender)))
+            self._carry(to, membership.receive(self.now, message, ("127.0.0.1", sender)))
             if membership.counts.taken > before:
                 self.taken.setdefault(to, []).append(self.now)
--- a/standflow/assembly.py
+++ b/standflow/assembly.py
@@ -167,26 +167,30 @@
         config = self.config
         if config.fleet is None:
             return None
-        from standflow.fleet.member import Member, Parts
+        from standflow.fleet.member import Member, MemberCallbacks
         from standflow.fleet.snapshot import Snapshot
 
         def send(to: int | tuple[str, int], content: bytes) -> None:
             if self.speaks:
                 peers.tell(to, content) if isinstance(to, int) else peers.send(to, content)
 
-        def changed(snapshot: Snapshot) -> None:
+        def membership_changed(snapshot: Snapshot) -> None:
             self.driver.fleet_seen(snapshot)
             if self.keeper is not None:
-                self.keeper.limits.sharers = len(snapshot.among)
+                self.keeper.limits.sharers = len(snapshot.slow_start_members)
 
-        parts = Parts(send=send, filled=peers.fill, changed=changed)
+        callbacks = MemberCallbacks(
+            send=send, address_learned=peers.fill, membership_changed=membership_changed
+        )
         settings, chance = config.settings, random.Random(config.seed + 2)
         fleet, places = config.fleet, (settings.number, settings.gateways)
-        member = Member(self.loop, self.log, fleet.name, *places, peers.address, fleet.seeds, chance, parts)
+        member = Member(
+            self.loop, self.log, fleet.name, *places, peers.address, fleet.seeds, chance, callbacks
+        )
         if self.found is not None:
-            member.remember(self.found.members)
-        peers.of_view, peers.heard = member.hear, member.ring
-        member.speaks = self.speaks
+            member.restore_members(self.found.members)
+        peers.of_view, peers.heard = member.receive, member.note_ring_datagram
+        member.is_active = self.speaks
         return member
 
     def _make_handover(self) -> Handover | None:
@@ -265,7 +269,7 @@
             self.clients.evacuate(*found.emptied)
         self.found = found
         if self.member is not None:
-            self.member.remember(found.members)
+            self.member.restore_members(found.members)
         return found
 
     def _as_told(self) -> list[Route]:
@@ -284,7 +288,7 @@
     def _speak(self, wanted: bool) -> None:
         self.speaks = wanted
         if self.member is not None:
-            self.member.speaks = wanted
+            self.member.is_active = wanted
 
     def _crowd(self, another: bool) -> None:
         """Two processes of one ingress have its descriptors and its memory between them."""
@@ -325,7 +329,7 @@
             evacuated=lambda: self.clients.evacuated,
             evacuate=self.clients.evacuate,
             show=self._laid_over,
-            fleet=lambda: None if self.member is None else self.member.figures(),
+            fleet=lambda: None if self.member is None else self.member.metrics(),
             recovery=lambda: None if self.store is None else self.store.figures(),
             noted=self._noted,
         )
--- a/standflow/driver.py
+++ b/standflow/driver.py
@@ -190,7 +190,9 @@
 
     def fleet_seen(self, seen: Snapshot) -> None:
         """FleetSeen."""
-        event = i.FleetSeen(seen.alive, seen.missing, seen.has_quorum, seen.among, seen.returned)
+        event = i.FleetSeen(
+            seen.alive, seen.unreachable, seen.has_quorum, seen.slow_start_members, seen.returned
+        )
         self.feed(event)
 
     def heard(self) -> list[float]:
--- a/standflow/fleet/member.py
+++ b/standflow/fleet/member.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from standflow.fleet.membership import MemberSettings, Membership
-from standflow.fleet.messages import MAGIC, Address, State, decode, encode, key_of, updates_per_datagram
+from standflow.fleet.messages import MAGIC, Address, State, decode, derive_key, encode, updates_per_datagram
 from standflow.fleet.outbox import Send
 from standflow.fleet.own_member import Change
 from standflow.fleet.snapshot import Snapshot
@@ -17,16 +17,16 @@
 
 
 @dataclass(slots=True)
-class Parts:
+class MemberCallbacks:
     """What the membership asks of the ingress."""
 
     send: Callable[[int | Address, bytes], None]  # to a member, or to an address whose member is not known
-    filled: Callable[[int, Address], None]  # a member's address, where none is listed
-    changed: Callable[[Snapshot], None]  # with what follows, each time it is another
+    address_learned: Callable[[int, Address], None]  # a member's address, where none is listed
+    membership_changed: Callable[[Snapshot], None]  # with what follows, each time it is another
 
 
 @dataclass(slots=True, frozen=True)
-class Figures:
+class MemberMetrics:
     """What operators are shown."""
 
     present: int
@@ -50,11 +50,11 @@
         address: Address,
         seeds: tuple[Address, ...],
         chance: random.Random,
-        parts: Parts,
+        callbacks: MemberCallbacks,
     ) -> None:
         """`seeds`: some to join by, where the members' addresses are not listed; else none."""
-        self.loop, self.log, self.parts = loop, log, parts
-        self.key, self.addresses = key_of(fleet), bool(seeds)
+        self.loop, self.log, self.callbacks = loop, log, callbacks
+        self.key, self.addresses = derive_key(fleet), bool(seeds)
         boot_time_ms = round(time.time() * 1000)
         settings = MemberSettings(
             member_id,
@@ -68,26 +68,26 @@
         self.membership = Membership(settings, loop.now(), chance)
         self.reported: Snapshot | None = None
         self.reported_at: tuple[int, ...] | None = None  # the revision of that
-        self.speaks = True
+        self.is_active = True
         self.spoiled = 0  # datagrams of another fleet, or garbled
         self.closed = False
         log(f"fleet: this is place {member_id} of {size} in {fleet}")
-        loop.every(lambda: self.membership.pace, self._tick)
+        loop.every(lambda: self.membership.tick_interval, self._tick)
 
-    def hear(self, content: bytes, sender: Address) -> bool:
+    def receive(self, content: bytes, sender: Address) -> bool:
         """True for a datagram that looks like a membership's, sound or not; the ring's are none of it."""
         if not content.startswith(MAGIC):
             return False
         message = decode(content, self.key)
         if message is None:
             self.spoiled += 1
-        elif self.speaks:
-            self._carry(self.membership.hear(self.loop.now(), message, sender))
+        elif self.is_active:
+            self._carry(self.membership.receive(self.loop.now(), message, sender))
         return True
 
-    def ring(self, member_id: int) -> None:
+    def note_ring_datagram(self, member_id: int) -> None:
         """A datagram of the ring came from there."""
-        self.membership.ring(self.loop.now(), member_id)
+        self.membership.note_ring_datagram(self.loop.now(), member_id)
 
     def counted_members(self) -> dict[str, list[Any]] | None:
         """The others that count in the fleet, for the next start: by member id, boot times and addresses.
@@ -101,30 +101,30 @@
             for update in self.membership.counted_updates()
         }
 
-    def remember(self, members: dict[str, list[Any]]) -> None:
+    def restore_members(self, members: dict[str, list[Any]]) -> None:
         """What the process before kept of it."""
         known = {
             int(n): (int(boot_time_ms), (host, port) if host else None)
             for n, (boot_time_ms, host, port) in members.items()
         }
-        self.membership.remember(known)
+        self.membership.restore_members(known)
         if known:
             self.log(f"fleet: {sorted(known)} were there in an earlier life: asked, and missing until heard")
 
     def leave(self) -> None:
         """The ingress ends in order: the others are told, and miss nobody."""
-        if self.speaks:
+        if self.is_active:
             self._carry(self.membership.leave())
 
     def close(self) -> None:
         """Ends it."""
         self.closed = True
 
-    def figures(self) -> Figures:
+    def metrics(self) -> MemberMetrics:
         """Of now."""
         membership = self.membership
         states = [update.state for update in membership.table.updates.values()]
-        return Figures(
+        return MemberMetrics(
             present=len(membership.table.alive),
             suspected=states.count(State.SUSPECTED),
             settled_ms=round((self.loop.now() - membership.changed_at) * 1000),
@@ -134,7 +134,7 @@
         )
 
     def _tick(self) -> None:
-        if self.speaks and not self.closed:
+        if self.is_active and not self.closed:
             self._carry(self.membership.tick(self.loop.now()))
 
     def _carry(self, sends: list[Send]) -> None:
@@ -151,7 +151,7 @@
         if isinstance(to, int) and self.addresses:
             to = self._address(to)
         if to is not None:
-            self.parts.send(to, encode(send.message, self.key, self.addresses))
+            self.callbacks.send(to, encode(send.message, self.key, self.addresses))
 
     def _log_change(self, change: Change) -> None:
         count = len(self.membership.table.alive)
@@ -159,7 +159,7 @@
         self.log(f"fleet: place {change.member_id}: {became}, {count} present")
         address = self._address(change.member_id)
         if self.addresses and address is not None:
-            self.parts.filled(change.member_id, address)
+            self.callbacks.address_learned(change.member_id, address)
 
     def _address(self, member_id: int) -> Address | None:
         update = self.membership.table.updates.get(member_id)
@@ -175,6 +175,6 @@
             return
         if self.reported is not None and snapshot.has_quorum != self.reported.has_quorum:
             may = "may" if snapshot.has_quorum else "may not"
-            self.log(f"fleet: {may} take over for {sorted(snapshot.missing)}")
+            self.log(f"fleet: {may} take over for {sorted(snapshot.unreachable)}")
         self.reported = snapshot
-        self.parts.changed(snapshot)
+        self.callbacks.membership_changed(snapshot)
--- a/standflow/fleet/membership.py
+++ b/standflow/fleet/membership.py
@@ -121,7 +121,7 @@
         return self.reachability.is_unheard(self.now)
 
     @property
-    def pace(self) -> float:
+    def tick_interval(self) -> float:
         """Seconds until `tick` is due again: each one wakes the process."""
         busy = self.detector.probes or self.detector.deadlines or self.dissemination.remaining
         if busy or self.sync.differs or not self.joined or self.join.is_young(self.now):
@@ -140,18 +140,18 @@
 
     def take_snapshot(self) -> Snapshot:
         """What follows, for now; who has returned is told once."""
-        returned, among = frozenset(self._returned), frozenset(self._among)
+        returned, slow_start_members = frozenset(self._returned), frozenset(self._among)
         self._returned = set()
         counted = self.table.alive | self.table.dead
         if self.own.yielded or (self.unheard and len(counted) > 1):
             alone = frozenset({self.table.own_id})
-            return Snapshot(alone, frozenset(counted - alone), False, among, returned)
+            return Snapshot(alone, frozenset(counted - alone), False, slow_start_members, returned)
         alive = frozenset(self._reached())
-        return Snapshot(alive, frozenset(counted - alive), self.has_quorum(), among, returned)
+        return Snapshot(alive, frozenset(counted - alive), self.has_quorum(), slow_start_members, returned)
 
     # Events.
 
-    def remember(self, members: dict[int, tuple[int, Address | None]]) -> None:
+    def restore_members(self, members: dict[int, tuple[int, Address | None]]) -> None:
         """Who counted in the fleet before this member's restart, with their boot times and addresses.
 
         They are asked, and missing until heard. An update on them is older than any of their own.
@@ -181,10 +181,10 @@
         self.reachability.tick(now)
         self._remove_long_dead()
         self._settle()
-        self._due = now + self.pace
+        self._due = now + self.tick_interval
         return self.outbox.take()
 
-    def hear(self, now: float, message: Message, sender: Address) -> list[Send]:
+    def receive(self, now: float, message: Message, sender: Address) -> list[Send]:
         """A sound datagram of this fleet."""
         self.now = now = max(self.now, now)
         if message.member_id >= self.table.size or self.left or not self.received.take(now):
@@ -204,7 +204,7 @@
         self._answer(message)
         return self.outbox.take()
 
-    def ring(self, now: float, member_id: int) -> None:
+    def note_ring_datagram(self, now: float, member_id: int) -> None:
         """A datagram of the ring came from a member: a sign of life."""
         state = self.table.state(member_id)
         if state is None:
--- a/standflow/fleet/messages.py
+++ b/standflow/fleet/messages.py
@@ -93,7 +93,7 @@
 _KINDS, _STATES = tuple(Kind), tuple(State)
 
 
-def key_of(fleet: str) -> bytes:
+def derive_key(fleet: str) -> bytes:
     """The key of a fleet's tags, from its name."""
     return blake2b(fleet.encode(), digest_size=32).digest()
 
--- a/standflow/fleet/own_member.py
+++ b/standflow/fleet/own_member.py
@@ -52,8 +52,8 @@
 
     def raise_if_many_dead(self, now: float) -> None:
         """Many are dead at once: they may hold us for dead, and the join would wait for our refutation."""
-        missing, here = len(self.table.dead), len(self.table.alive)
-        if missing >= MANY_DEAD * (missing + here) and now - self.raised_at > RAISE_SECONDS:
+        unreachable, here = len(self.table.dead), len(self.table.alive)
+        if unreachable >= MANY_DEAD * (unreachable + here) and now - self.raised_at > RAISE_SECONDS:
             self.raised_at = now
             own = self.table.own
             self._say_alive(now, own.boot_time_ms, own.incarnation + 1)
--- a/tests/test_fleet_member.py
+++ b/tests/test_fleet_member.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from standflow.fleet.member import Member, Parts
+from standflow.fleet.member import Member, MemberCallbacks
 from standflow.fleet.rate_limit import TokenBucket
 from standflow.fleet.snapshot import Snapshot, has_quorum
 from standflow.net.loop import Loop
@@ -59,13 +59,13 @@
             if not self.is_cut:
                 self.loop.call_later(0.001, lambda: self._deliver(1 - own_id, content))
 
-        parts = Parts(send, lambda number, address: None, self.reports[own_id].append)
+        callbacks = MemberCallbacks(send, lambda number, address: None, self.reports[own_id].append)
         log = self.logs[own_id].append
         loop = cast(Loop, self.loop)
-        return Member(loop, log, "lab", own_id, 2, ("127.0.0.1", 1), (), random.Random(own_id), parts)
+        return Member(loop, log, "lab", own_id, 2, ("127.0.0.1", 1), (), random.Random(own_id), callbacks)
 
     def _deliver(self, to: int, content: bytes) -> None:
-        assert self.members[to].hear(content, ("127.0.0.1", 1))
+        assert self.members[to].receive(content, ("127.0.0.1", 1))
 
 
 def test_log_lines_figures_and_reports_of_a_cut_and_its_end() -> None:
@@ -77,7 +77,7 @@
             f"fleet: place {1 - own_id}: unknown -> present (heard), 2 present",
         ]
         assert two.reports[own_id][-1].has_quorum
-        assert two.members[own_id].figures().present == 2
+        assert two.members[own_id].metrics().present == 2
     two.is_cut = True
     two.loop.run(8.0)
     assert two.logs[1][2:] == [
@@ -89,7 +89,7 @@
     assert two.reports[1][-1] == Snapshot(
         frozenset({1}), frozenset({0}), False, frozenset({0, 1}), frozenset()
     )
-    figures = two.members[1].figures()
+    figures = two.members[1].metrics()
     assert (figures.present, figures.suspected) == (1, 0)
     assert figures.sent > 0 < figures.taken
     two.is_cut = False
@@ -97,7 +97,7 @@
     assert "fleet: may take over for []" in two.logs[1]
     assert [report.returned for report in two.reports[1]].count(frozenset({0})) == 2  # each time once
     assert two.reports[1][-1].has_quorum
-    assert all(member.figures().present == 2 for member in two.members)
+    assert all(member.metrics().present == 2 for member in two.members)
 
 
 def test_who_is_held_for_dead_is_kept_for_the_next_start_and_who_has_left_is_not() -> None:
@@ -108,7 +108,7 @@
     assert set(known) == {"0"}
     two.is_cut = True
     two.loop.run(8.0)
-    assert two.members[1].figures().present == 1
+    assert two.members[1].metrics().present == 1
     assert two.members[1].counted_members() == known
     two.is_cut = False
     two.loop.run(3.0)
--- a/tests/test_fleet_quotas.py
+++ b/tests/test_fleet_quotas.py
@@ -43,7 +43,7 @@
             if to in self.live and not self.blocked(sender, to) and self.chance.random() >= self.loss:
                 self.deliver(to, self.live[to].handle(self.now, i.PeerMessage(sender, action.content)))
                 if self.members is not None and to in self.members.live:
-                    self.members.live[to].ring(self.now, sender)
+                    self.members.live[to].note_ring_datagram(self.now, sender)
 
     def play(
         self, seconds: float, asked: dict[str, float], weights: tuple[float, ...] = (3, 3, 2, 2, 2)
@@ -73,7 +73,9 @@
             self.members.run(self.now - self.members.now)
             for number, membership in self.members.live.items():
                 seen = membership.take_snapshot()
-                event = i.FleetSeen(seen.alive, seen.missing, seen.has_quorum, seen.among, seen.returned)
+                event = i.FleetSeen(
+                    seen.alive, seen.unreachable, seen.has_quorum, seen.slow_start_members, seen.returned
+                )
                 known = membership.joined and not membership.waiting  # as in standflow/fleet/member.py
                 if number in self.live and known and event != self.told.get(number):
                     self.told[number] = event
@@ -107,7 +109,7 @@
         self.now += away
         for number, (use, lives) in kept.items():
             self.restart(number)
-            self.members.start(number).remember(lives)
+            self.members.start(number).restore_members(lives)
             found = trust(use if store else [], Clock("boot", self.now), plans)
             rows = [[w.key, w.plan, w.first, w.size, w.own, w.others] for w in found.windows]
             handover.refill(self.live[number], self.now, rows)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -20,8 +20,8 @@
     State,
     Update,
     decode,
+    derive_key,
     encode,
-    key_of,
     updates_per_datagram,
 )
 from standflow.fleet.own_member import CLASH_SECONDS
@@ -190,7 +190,7 @@
     address = ("127.0.0.1", 1)
     there, suspected = Update(2, 5, 0, State.ALIVE), Update(2, 5, 0, State.SUSPECTED)
     for serial, update in enumerate((there, suspected)):
-        membership.hear(0.1, Message(Kind.GOSSIP, 1, 7, 0, serial, 0, 1, 0xFFFF, (update,)), address)
+        membership.receive(0.1, Message(Kind.GOSSIP, 1, 7, 0, serial, 0, 1, 0xFFFF, (update,)), address)
     membership.outbox.sends.burst = membership.outbox.sends.tokens = 0.0
     now = 0.1
     while now < membership.detector.deadlines[2] + PUT_OFF_SECONDS / 2:
@@ -256,7 +256,7 @@
                     0xFFFF,
                     (about,),
                 )
-                one.hear(members.now, said, ("127.0.0.1", 1))
+                one.receive(members.now, said, ("127.0.0.1", 1))
             members.run(0.5)
     assert [one.own.yielded for one in (first, second)].count(True) == 1
     for one in (first, second):
@@ -294,16 +294,16 @@
     for member_id in range(3):
         members.start(member_id)
     members.run(2.0)
-    assert members.live[0].take_snapshot().among == set(range(5))
+    assert members.live[0].take_snapshot().slow_start_members == set(range(5))
     members.run(SETTLE_SECONDS + 1.0)
-    assert members.live[0].take_snapshot().among == {0, 1, 2}
+    assert members.live[0].take_snapshot().slow_start_members == {0, 1, 2}
     members.start(3)
-    assert members.until(lambda: 3 in members.live[0].take_snapshot().among, 2.0) < 2.0
+    assert members.until(lambda: 3 in members.live[0].take_snapshot().slow_start_members, 2.0) < 2.0
     members.kill(3)
     members.until(members.agree, 5.0)
-    assert 3 in members.live[0].take_snapshot().among
+    assert 3 in members.live[0].take_snapshot().slow_start_members
     members.run(SETTLE_SECONDS + 1.0)
-    assert 3 not in members.live[0].take_snapshot().among
+    assert 3 not in members.live[0].take_snapshot().slow_start_members
 
 
 def test_log_lines_keep_the_names_that_operators_read() -> None:
@@ -333,7 +333,7 @@
     content = encode(message, KEY, with_addresses)
     assert len(content) <= MAX_DATAGRAM_BYTES
     assert decode(content, KEY) == message
-    assert decode(content, key_of("another")) is None
+    assert decode(content, derive_key("another")) is None
     for at in range(0, len(content), 3):
         assert decode(content[:at], KEY) is None
         if at >= 2:
@@ -395,7 +395,7 @@
         elif what == "noise":
             for membership in members.live.values():
                 odd = Message(Kind.PING, member_id, 5, 5, 0, 0, 200, 9, (Update(99, 1, 1, State.DEAD),))
-                membership.hear(members.now, odd, ("127.0.0.1", 9))
+                membership.receive(members.now, odd, ("127.0.0.1", 9))
         members.run(1.0)
     whole(members)
     assert members.until(members.agree, 20.0) < 20.0
