--- a/lab/bench_power.py
+++ b/lab/bench_power.py
@@ -20,9 +20,9 @@
 from lab.fleet.record import COLD_FROM, COLD_TIME, pushed, quotas, ran_twice, record, unanswered
 from lab.fleet.site import WORK, Site
 from lab.report import Report
-from standflow.recovery.records import Record, encode, head, identity
-from standflow.recovery.store import FILE, Store
-from standflow.recovery.trust import BEAT, USE, Clock, Plan, trust
+from standflow.recovery.records import Record, encode, header_line, identity
+from standflow.recovery.store import RECORDS_FILE, Store
+from standflow.recovery.trust import HEARTBEAT, USAGE, BootClock, Plan, select_trusted
 
 SIZE, BOXES, LOSS, SPAN = 6, 3, 8.0, 26.0
 ALL = " ".join(map(str, range(SIZE)))
@@ -99,7 +99,7 @@
 def disk(report: Report) -> None:
     """The store alone with many tenants: how long `put` holds its caller, what is written, reading back."""
     whose = identity("n0", 0, "lab")
-    rows = [Record(USE, f"{n:010x}", ["plain", 0, 5, 3.25, 1.5], "b", 10.0) for n in range(TENANTS)]
+    rows = [Record(USAGE, f"{n:010x}", ["plain", 0, 5, 3.25, 1.5], "b", 10.0) for n in range(TENANTS)]
     with tempfile.TemporaryDirectory() as folder:
         store = Store(Path(folder), whose, 16 << 20)
         store.lock()
@@ -115,13 +115,15 @@
         report.tell("power.store.written", store.written / took / 1024, "KB-a-second")
         report.tell("power.store.syncs", store.syncs / took, "a-second", "<=8")
         store.close()
-        beat = Record(BEAT, "", 1, "b", 10.0)
+        beat = Record(HEARTBEAT, "", 1, "b", 10.0)
         lines = b"".join(encode(row, whose) for row in [*rows, beat])
-        (Path(folder) / FILE).write_bytes(head(whose) + lines)
+        (Path(folder) / RECORDS_FILE).write_bytes(header_line(whose) + lines)
         reader = Store(Path(folder), whose, 16 << 20)
         reader.lock()
         at = time.monotonic()
-        found = trust(reader.load().records.values(), Clock("b", 10.5), {"plain": Plan(12.0, 4.0)})
+        found = select_trusted(
+            reader.load().records.values(), BootClock("b", 10.5), {"plain": Plan(12.0, 4.0)}
+        )
         report.tell("power.store.read-back", time.monotonic() - at, f"s-for-{len(found.windows)}", "<=1")
         reader.close()
 
--- a/standflow/assembly.py
+++ b/standflow/assembly.py
@@ -33,8 +33,8 @@
     from standflow.fleet.member import Member
     from standflow.handshakes.keeper import Keeper
     from standflow.ops.operations import Operations
-    from standflow.recovery.keeper import Keeper as StoreKeeper
-    from standflow.recovery.trust import Trusted
+    from standflow.recovery.trust import TrustedState
+    from standflow.recovery.writer import StateStoreWriter
     from standflow.tls.streams import TlsStreams
     from standflow.upgrade.handover import Handover
 
@@ -122,7 +122,7 @@
         self.asking = self._make_asking()
         self.speaks = True  # on the ring: of two processes of one ingress one alone does
         self.member: Member | None = None
-        self.found: Trusted | None = None  # in the store
+        self.found: TrustedState | None = None  # in the store
         if config.passed is None:
             self._listen_to_peers()
         with named("listen" if config.passed is None else "EDGE_PASSED_SOCKET"):
@@ -217,56 +217,56 @@
         )
         return Handover(self.loop, self.log, self.config.folder, self.config.name, parts)
 
-    def _make_store(self) -> StoreKeeper | None:
+    def _make_store(self) -> StateStoreWriter | None:
         """What outlives a power loss, where the operator's file has a place for it."""
         config = self.config
         if config.store is None:
             return None
-        from standflow.recovery.keeper import Keeper, Parts
         from standflow.recovery.records import identity
         from standflow.recovery.store import Store
+        from standflow.recovery.writer import StateStoreWriter, WriterCallbacks
 
         driver, clients, ops = self.driver, self.clients, self.ops
         fleet = "" if config.fleet is None else config.fleet.name
         whose = identity(config.name, config.settings.number, fleet)
 
-        def words() -> dict[str, list[Any]] | None:
+        def operator_overrides() -> dict[str, list[Any]] | None:
             return (
                 None
                 if ops is None
                 else {hop: [one.out, one.at, one.went] for hop, one in ops.overlay.words.items()}
             )
 
-        parts = Parts(
-            used=driver.used,
-            refill=lambda windows: driver.refill(
+        callbacks = WriterCallbacks(
+            used_windows=driver.used,
+            refill_windows=lambda windows: driver.refill(
                 [[w.key, w.plan, w.first, w.size, w.own, w.others] for w in windows]
             ),
-            learnt=driver.learnt,
-            learn=driver.learn,
+            learned=driver.learnt,
+            restore_learned=driver.learn,
             routes=lambda: [write_route(route) for route in self._as_told()],
-            words=words,
-            emptied=lambda: (clients.evacuated, clients.evacuated_at),
+            operator_overrides=operator_overrides,
+            evacuation=lambda: (clients.evacuated, clients.evacuated_at),
             members=lambda: None if self.member is None else self.member.counted_members(),
         )
         store = Store(config.store.folder, whose, config.store.most)
-        return Keeper(self.loop, self.log, store, config.store.every, parts)
+        return StateStoreWriter(self.loop, self.log, store, config.store.every, callbacks)
 
-    def _trusted(self) -> Trusted | None:
+    def _trusted(self) -> TrustedState | None:
         """What the store says, and of it what operators said is in force."""
         if self.store is None:
             return None
         from standflow.recovery.trust import Plan
 
         plans = {plan.name: Plan(plan.burst, plan.rate) for plan in self.config.settings.plans}
-        found = self.store.begin(plans)
+        found = self.store.load(plans)
         if self.ops is not None:
             from standflow.ops.overlay import Word
 
-            for hop, (out, at, went) in found.words.items():
+            for hop, (out, at, went) in found.operator_overrides.items():
                 self.ops.overlay.hear(hop, Word(out, at, went))
-        if found.emptied is not None:
-            self.clients.evacuate(*found.emptied)
+        if found.evacuation is not None:
+            self.clients.evacuate(*found.evacuation)
         self.found = found
         if self.member is not None:
             self.member.restore_members(found.members)
@@ -330,7 +330,7 @@
             evacuate=self.clients.evacuate,
             show=self._laid_over,
             fleet=lambda: None if self.member is None else self.member.metrics(),
-            recovery=lambda: None if self.store is None else self.store.figures(),
+            recovery=lambda: None if self.store is None else self.store.metrics(),
             noted=self._noted,
         )
         with named("ops"):
@@ -341,7 +341,7 @@
         if self.handover is not None:
             self.handover.write()
         if self.store is not None:
-            self.store.note()
+            self.store.write_operator_records()
 
     def _make_tls(self) -> TlsStreams | None:
         """Nothing of TLS is imported where the operator's file has no block for it."""
@@ -412,9 +412,9 @@
     def start(self) -> None:
         """Begins to serve: the saved list first, then discovery's word, then the callers."""
         known, found = self.config.known, self._trusted()
-        if found is not None and found.hops and self.routes is not None:
+        if found is not None and found.next_hops and self.routes is not None:
             # candidates until discovery speaks; of it the whole list is asked for, whatever its revision is
-            raw = {"revision": 0, "complete": True, "members": found.hops}
+            raw = {"revision": 0, "complete": True, "members": found.next_hops}
             known = read_routes(raw, self.config.zones, self.log)
             self.routes.revision = None
         if self.ops is not None and known is not None:
@@ -428,10 +428,10 @@
                 self.next_hops.routes_told(known)
             self.driver.start(known)
         if found is not None and self.store is not None:
-            self.store.parts.refill(found.windows)
-            if found.learnt is not None:
+            self.store.callbacks.refill_windows(found.windows)
+            if found.learned is not None:
                 try:
-                    self.store.parts.learn(found.learnt)
+                    self.store.callbacks.restore_learned(found.learned)
                 except (KeyError, TypeError, ValueError, AttributeError) as error:
                     self.log(f"store: what was learnt is passed over: {error!r}")
             self.store.start(found)
--- a/standflow/recovery/records.py
+++ b/standflow/recovery/records.py
@@ -22,8 +22,8 @@
     kind: str
     name: str
     value: Any  # as JSON has it
-    boot: str  # of the machine, when it was written
-    up: float  # seconds of that boot's clock
+    boot_id: str  # of the machine, when it was written
+    uptime: float  # seconds of that boot's clock
 
     @property
     def key(self) -> tuple[str, str]:
@@ -36,8 +36,8 @@
     """What a file says: the latest record of each key, and what else was found."""
 
     records: dict[tuple[str, str], Record]
-    spoilt: int  # lines that are torn, flipped or another's
-    another: str  # the identity in the head, where it is not ours
+    corrupt_lines: int  # lines that are torn, flipped or another's
+    foreign_identity: str  # the identity in the head, where it is not ours
 
 
 def identity(name: str, number: int, fleet: str) -> str:
@@ -47,14 +47,14 @@
 
 def encode(record: Record, whose: str) -> bytes:
     """The line of a record; ValueError where it is too long."""
-    row = [record.kind, record.name, record.value, record.boot, round(record.up, 3)]
+    row = [record.kind, record.name, record.value, record.boot_id, round(record.uptime, 3)]
     body = json.dumps(row, separators=(",", ":"), allow_nan=False).encode()
     if len(body) > LONGEST:
         raise ValueError(f"{record.kind} {record.name} is too long")
     return b"%08x %b\n" % (zlib.crc32(body, zlib.crc32(whose.encode())), body)
 
 
-def head(whose: str) -> bytes:
+def header_line(whose: str) -> bytes:
     """The first line: for whoever reads it, and for the log where it is another's."""
     return f"{HEAD} {whose}\n".encode()
 
@@ -66,27 +66,27 @@
         # as bytes: in capitals the same number would stand there, and a flipped bit be passed over
         if line[:9] != b"%08x " % zlib.crc32(body, zlib.crc32(whose.encode())):
             return None
-        kind, name, value, boot, up = json.loads(body)
+        kind, name, value, boot_id, uptime = json.loads(body)
     except (ValueError, RecursionError):
         return None
-    return Record(kind, name, value, boot, float(up))
+    return Record(kind, name, value, boot_id, float(uptime))
 
 
 def read(data: bytes, whose: str) -> Contents:
     """All that a file says. The last line counts only with its end: it may be cut."""
     records: dict[tuple[str, str], Record] = {}
-    spoilt, another = 0, ""
+    corrupt_lines, foreign_identity = 0, ""
     lines = data.split(b"\n")
     for line in lines[:-1]:
         if line.startswith(HEAD.encode()):
             said = line[len(HEAD) + 1 :].decode(errors="replace")
-            another = said if said != whose else another
+            foreign_identity = said if said != whose else foreign_identity
             continue
         record = decode(line, whose)
         if record is None:
-            spoilt += 1
+            corrupt_lines += 1
         else:
             records.pop(record.key, None)
             if record.value is not None:
                 records[record.key] = record
-    return Contents(records, spoilt + bool(lines[-1]), another)
+    return Contents(records, corrupt_lines + bool(lines[-1]), foreign_identity)
--- a/standflow/recovery/store.py
+++ b/standflow/recovery/store.py
@@ -15,9 +15,9 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from standflow.recovery.records import Contents, Record, encode, head, read
+from standflow.recovery.records import Contents, Record, encode, header_line, read
 
-FILE, LOCK, ASIDE = "records", "lock", "records.aside"
+RECORDS_FILE, LOCK_FILE, FOREIGN_FILE = "records", "lock", "records.aside"
 WASTE = 256 * 1024  # bytes that superseded lines may take in any case
 AGAIN = 1.0  # seconds until a failed write is tried again
 AGAIN_AT_END = 0.05  # the same, once the store is being closed
@@ -32,12 +32,12 @@
     ) -> None:
         """`most`: bytes that records in force may take; `sync` makes a descriptor's bytes last."""
         self.folder, self.whose, self.most, self.sync = folder, whose, most, sync
-        self.notes: deque[str] = deque(maxlen=100)
+        self.log_lines: deque[str] = deque(maxlen=100)
         self.lines: dict[tuple[str, str], bytes] = {}  # in force, the one written last is last
         self.size = 0  # bytes of these
         self.appended = 0  # bytes of the file beyond them
         self.written = self.syncs = 0  # bytes and calls, since the start
-        self.held = -1  # the lock's descriptor
+        self.lock_fd = -1  # the lock's descriptor
         self._file = -1
         self._next: dict[tuple[str, str], Record] = {}
         self._wake = threading.Condition()
@@ -50,37 +50,37 @@
 
     def lock(self) -> bool:
         """True where this process alone may write; another one of this ingress may, else."""
-        if self.held < 0:
+        if self.lock_fd < 0:
             try:
                 self.folder.mkdir(parents=True, exist_ok=True)
-                fd = os.open(self.folder / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+                fd = os.open(self.folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
             except OSError as error:
-                self._fault(f"{LOCK}: {error.strerror}")
+                self._fault(f"{LOCK_FILE}: {error.strerror}")
                 return False
             try:
                 fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except OSError:
                 os.close(fd)
                 return False
-            self.held = fd
+            self.lock_fd = fd
         return True
 
     def load(self) -> Contents:
         """What was kept; nothing where nothing can be read. Another's file is set aside."""
-        path = self.folder / FILE
+        path = self.folder / RECORDS_FILE
         try:
             with path.open("rb") as file:
                 data = file.read(4 * self.most + WASTE)
         except FileNotFoundError:
             return Contents({}, 0, "")
         except OSError as error:
-            self._fault(f"{FILE}: {error.strerror}")
+            self._fault(f"{RECORDS_FILE}: {error.strerror}")
             return Contents({}, 0, "")
         contents = read(data, self.whose)
-        if contents.another and not contents.records and self.held >= 0:
+        if contents.foreign_identity and not contents.records and self.lock_fd >= 0:
             with contextlib.suppress(OSError):
-                os.replace(path, self.folder / ASIDE)
-        if self.held >= 0:
+                os.replace(path, self.folder / FOREIGN_FILE)
+        if self.lock_fd >= 0:
             for key, record in contents.records.items():
                 self.lines[key] = line = encode(record, self.whose)
                 self.size += len(line)
@@ -88,7 +88,7 @@
 
     def put(self, records: list[Record]) -> None:
         """Takes records in; of one key the latest is written. Only the lock's holder writes."""
-        if self.held < 0 or not records:
+        if self.lock_fd < 0 or not records:
             return
         with self._wake:
             for record in records:
@@ -107,9 +107,9 @@
             self._wake.notify()
         if self._thread is not None:
             self._thread.join(limit)
-        if self.held >= 0 and (self._thread is None or not self._thread.is_alive()):
-            os.close(self.held)
-            self.held = -1
+        if self.lock_fd >= 0 and (self._thread is None or not self._thread.is_alive()):
+            os.close(self.lock_fd)
+            self.lock_fd = -1
 
     # The thread.
 
@@ -124,11 +124,11 @@
             try:
                 self._put(list(batch.values()))
                 if self._failed:
-                    self.notes.append("store: written again")
+                    self.log_lines.append("store: written again")
                 self._failed, self._owed = "", False
             except OSError as error:
                 self._whole = self._owed = True  # what the file holds now is not known
-                self._fault(f"{FILE}: {error.strerror}")
+                self._fault(f"{RECORDS_FILE}: {error.strerror}")
                 with self._wake:
                     self._wake.wait_for(lambda: self._closed, AGAIN)
                 if closed and time.monotonic() < self._last_try:
@@ -145,7 +145,7 @@
             try:
                 line = encode(record, self.whose)
             except ValueError as error:
-                self.notes.append(f"store: passed over: {error}")
+                self.log_lines.append(f"store: passed over: {error}")
                 continue
             before = self.lines.pop(record.key, b"")
             self.size -= len(before)
@@ -178,13 +178,13 @@
     def _write_whole(self) -> None:
         """A new file takes the old one's place once it lasts: a loss leaves one of the two whole."""
         self.folder.mkdir(parents=True, exist_ok=True)
-        beside = self.folder / (FILE + ".part")
+        beside = self.folder / (RECORDS_FILE + ".part")
         fd = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC, 0o600)
         try:
-            self._all(fd, head(self.whose) + b"".join(self.lines.values()))
+            self._all(fd, header_line(self.whose) + b"".join(self.lines.values()))
             self.sync(fd)
             self.syncs += 1
-            os.replace(beside, self.folder / FILE)
+            os.replace(beside, self.folder / RECORDS_FILE)
             at = os.open(self.folder, os.O_RDONLY)
             try:
                 os.fsync(at)
@@ -205,5 +205,5 @@
 
     def _fault(self, text: str) -> None:
         if text != self._failed:
-            self.notes.append(f"store: {text}; the ingress goes on without")
+            self.log_lines.append(f"store: {text}; the ingress goes on without")
         self._failed = text
--- a/tests/test_fleet_quotas.py
+++ b/tests/test_fleet_quotas.py
@@ -16,7 +16,7 @@
 from lab.quotas import Try, Verdict, judge
 from standflow.config.model import Address
 from standflow.recovery.records import Record
-from standflow.recovery.trust import Clock, Plan, trust
+from standflow.recovery.trust import BootClock, Plan, select_trusted
 from tests.world import BASIC, Pair, backend, listed, of, started
 
 SIZE, RATE, BURST = 5, 2.0, 10.0  # of world.BASIC
@@ -110,7 +110,7 @@
         for number, (use, lives) in kept.items():
             self.restart(number)
             self.members.start(number).restore_members(lives)
-            found = trust(use if store else [], Clock("boot", self.now), plans)
+            found = select_trusted(use if store else [], BootClock("boot", self.now), plans)
             rows = [[w.key, w.plan, w.first, w.size, w.own, w.others] for w in found.windows]
             handover.refill(self.live[number], self.now, rows)
 
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -18,8 +18,8 @@
 from lab.fleet.site import Deployment, Site
 from lab.processes import Ingress
 from lab.quotas import judge
-from standflow.recovery.records import Record, encode, head, identity, read
-from standflow.recovery.store import FILE
+from standflow.recovery.records import Record, encode, header_line, identity, read
+from standflow.recovery.store import RECORDS_FILE
 from tests.wire import LIMIT
 
 SIZE = 6
@@ -118,8 +118,8 @@
         value = one.value
         if one.kind in ("word", "emptied"):
             value = [value[0], value[1] + 3600 * hours, *value[2:]]
-        shifted.append(Record(one.kind, one.name, value, boot, one.up))
-    path.write_bytes(head(whose) + b"".join(encode(one, whose) for one in shifted))
+        shifted.append(Record(one.kind, one.name, value, boot, one.uptime))
+    path.write_bytes(header_line(whose) + b"".join(encode(one, whose) for one in shifted))
 
 
 def test_operators_words_outlive_a_loss_whatever_the_disk_or_the_clock_says(tmp_path: Path) -> None:
@@ -128,16 +128,18 @@
             assert call(site.live[n], "POST", "/api/exclude/s-0") == "yes\n"
         assert call(site.live[5], "POST", "/api/evacuate") == "yes\n"
         for n in range(SIZE):  # on the disk
-            path = site.disk(n) / FILE
+            path = site.disk(n) / RECORDS_FILE
             until(lambda path=path: b'"word","s-0",[true' in path.read_bytes())
-        until(lambda: b'"emptied","",[true' in (site.disk(5) / FILE).read_bytes())
+        until(lambda: b'"emptied","",[true' in (site.disk(5) / RECORDS_FILE).read_bytes())
         site.kill(*range(SIZE))
         whose = [identity(f"n{n}", n, "lab") for n in range(SIZE)]
-        _rewritten(site.disk(1) / FILE, whose[1], 1.0, "an-earlier-boot")  # its clock was an hour ahead
-        with (site.disk(2) / FILE).open("ab") as file:
+        _rewritten(
+            site.disk(1) / RECORDS_FILE, whose[1], 1.0, "an-earlier-boot"
+        )  # its clock was an hour ahead
+        with (site.disk(2) / RECORDS_FILE).open("ab") as file:
             file.write(b'00000000 ["word","s-0",[false,9e9,0],"x",1]\nhalf a li')
         shutil.rmtree(site.disk(3))  # empty
-        shutil.copy(site.disk(0) / FILE, site.disk(4) / FILE)  # another's
+        shutil.copy(site.disk(0) / RECORDS_FILE, site.disk(4) / RECORDS_FILE)  # another's
         site.start(*range(SIZE))
         outs = [int(figure(site.live[n], "ejected")) for n in range(SIZE)]
         assert outs == [1, 1, 1, 0, 0, 1]
@@ -196,7 +198,7 @@
 
 def test_a_full_disk_under_an_ingress_costs_a_line_until_there_is_room(tmp_path: Path) -> None:
     with Site(1, store=True) as site:
-        ingress, path = site.live[0], site.disk(0) / FILE
+        ingress, path = site.live[0], site.disk(0) / RECORDS_FILE
         until(path.exists)
         least = path.stat().st_size
         _, most = resource.prlimit(
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -14,9 +14,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from standflow.recovery.records import Record, encode, head, identity, read
-from standflow.recovery.store import FILE, Store
-from standflow.recovery.trust import BEAT, EMPTIED, HOP, LEARNT, USE, WORD, Clock, Plan, trust
+from standflow.recovery.records import Record, encode, header_line, identity, read
+from standflow.recovery.store import RECORDS_FILE, Store
+from standflow.recovery.trust import (
+    EVACUATION,
+    HEARTBEAT,
+    LEARNED,
+    NEXT_HOP,
+    OPERATOR_OVERRIDE,
+    USAGE,
+    BootClock,
+    Plan,
+    select_trusted,
+)
 from tests.wire import LIMIT
 
 OURS = identity("n1", 1, "lab")
@@ -26,7 +36,14 @@
     st.none(), st.lists(st.one_of(st.integers(), st.text(max_size=5), st.floats(0, 1e6)), max_size=4)
 )
 RECORDS = st.lists(
-    st.builds(Record, st.sampled_from([WORD, HOP, USE]), NAMES, VALUES, st.just("b"), st.just(1.5)),
+    st.builds(
+        Record,
+        st.sampled_from([OPERATOR_OVERRIDE, NEXT_HOP, USAGE]),
+        NAMES,
+        VALUES,
+        st.just("b"),
+        st.just(1.5),
+    ),
     max_size=12,
 )
 
@@ -39,7 +56,7 @@
 
 
 def kept(folder: Path) -> dict[tuple[str, str], Any]:
-    contents = read((folder / FILE).read_bytes(), OURS)
+    contents = read((folder / RECORDS_FILE).read_bytes(), OURS)
     return {key: record.value for key, record in contents.records.items()}
 
 
@@ -48,9 +65,9 @@
     records: list[Record], data: st.DataObject
 ) -> None:
     lines = [encode(record, OURS) for record in records]
-    whole = head(OURS) + b"".join(lines)
+    whole = header_line(OURS) + b"".join(lines)
     at = data.draw(st.integers(0, len(whole)))
-    begins = len(head(OURS))
+    begins = len(header_line(OURS))
     complete = 0
     for line in lines:
         begins += len(line)
@@ -64,12 +81,12 @@
 
     if lines:
         flipped = bytearray(whole)
-        bit = data.draw(st.integers(8 * len(head(OURS)), 8 * len(whole) - 1))
+        bit = data.draw(st.integers(8 * len(header_line(OURS)), 8 * len(whole) - 1))
         flipped[bit // 8] ^= 1 << bit % 8
         found = read(bytes(flipped), OURS)
         written = [(r.key, r.value) for r in records]
         assert all((key, record.value) in written for key, record in found.records.items())
-        assert found.spoilt >= 1
+        assert found.corrupt_lines >= 1
 
 
 def test_a_checksum_in_capitals_is_spoilt() -> None:
@@ -79,21 +96,21 @@
         for line in (encode(Record("word", str(n), [n], "b", 1.5), OURS) for n in range(99))
         if line[:8] != line[:8].upper()
     )
-    assert read(head(OURS) + line, OURS).spoilt == 0
-    assert read(head(OURS) + line[:8].upper() + line[8:], OURS).spoilt == 1
+    assert read(header_line(OURS) + line, OURS).corrupt_lines == 0
+    assert read(header_line(OURS) + line[:8].upper() + line[8:], OURS).corrupt_lines == 1
 
 
 def test_another_ingress_s_store_is_recognised_and_nothing_of_it_used(tmp_path: Path) -> None:
-    record = Record(WORD, "s-1", [True, 5.0, 5.0], "b", 1.0)
+    record = Record(OPERATOR_OVERRIDE, "s-1", [True, 5.0, 5.0], "b", 1.0)
     for other in (identity("n2", 1, "lab"), identity("n1", 2, "lab"), identity("n1", 1, "other")):
-        (tmp_path / FILE).write_bytes(head(other) + encode(record, other))
+        (tmp_path / RECORDS_FILE).write_bytes(header_line(other) + encode(record, other))
         store = Store(tmp_path, OURS, 1 << 20)
         assert store.lock()
         contents = store.load()
-        assert (contents.records, contents.another) == ({}, other)
-        store.put([Record(WORD, "s-2", [True, 6.0, 6.0], "b", 2.0)])
+        assert (contents.records, contents.foreign_identity) == ({}, other)
+        store.put([Record(OPERATOR_OVERRIDE, "s-2", [True, 6.0, 6.0], "b", 2.0)])
         store.close()
-        assert kept(tmp_path) == {(WORD, "s-2"): [True, 6.0, 6.0]}
+        assert kept(tmp_path) == {(OPERATOR_OVERRIDE, "s-2"): [True, 6.0, 6.0]}
         assert (tmp_path / "records.aside").exists()
 
 
@@ -113,18 +130,18 @@
 
     def put(self, number: int, size: int) -> None:
         value = None if size == 0 else ["x" * size]
-        self.store.put([Record(USE, str(number), value, "b", 1.0)])
-        self.expected.pop((USE, str(number)), None)
+        self.store.put([Record(USAGE, str(number), value, "b", 1.0)])
+        self.expected.pop((USAGE, str(number)), None)
         if value is not None:
-            self.expected[USE, str(number)] = value
+            self.expected[USAGE, str(number)] = value
 
     def again(self, torn: bytes) -> None:
         """Ended and begun again; what was being written when it ended is torn."""
         self.store.close()
-        if torn and (self.folder / FILE).exists():
-            with (self.folder / FILE).open("ab") as file:
+        if torn and (self.folder / RECORDS_FILE).exists():
+            with (self.folder / RECORDS_FILE).open("ab") as file:
                 file.write(torn)
-            (self.folder / (FILE + ".part")).write_bytes(torn)
+            (self.folder / (RECORDS_FILE + ".part")).write_bytes(torn)
         self.open()
 
 
@@ -151,16 +168,16 @@
 def test_the_file_stays_small_and_the_oldest_use_gives_way(tmp_path: Path) -> None:
     store = Store(tmp_path, OURS, 100_000)
     assert store.lock()
-    store.put([Record(WORD, "s-1", [True, 1.0, 1.0], "b", 1.0)])
+    store.put([Record(OPERATOR_OVERRIDE, "s-1", [True, 1.0, 1.0], "b", 1.0)])
     for round_ in range(40):
-        store.put([Record(USE, f"{round_}-{n}", ["x" * 500], "b", 1.0) for n in range(50)])
+        store.put([Record(USAGE, f"{round_}-{n}", ["x" * 500], "b", 1.0) for n in range(50)])
         until(lambda: not store._next)
     store.close()
-    assert (tmp_path / FILE).stat().st_size < 100_000 + 256 * 1024 + 50_000
+    assert (tmp_path / RECORDS_FILE).stat().st_size < 100_000 + 256 * 1024 + 50_000
     left = kept(tmp_path)
-    assert (WORD, "s-1") in left
-    assert (USE, "39-49") in left
-    assert (USE, "0-0") not in left
+    assert (OPERATOR_OVERRIDE, "s-1") in left
+    assert (USAGE, "39-49") in left
+    assert (USAGE, "0-0") not in left
 
 
 def test_a_slow_disk_holds_nobody_and_a_full_one_costs_a_line(tmp_path: Path) -> None:
@@ -175,19 +192,19 @@
     assert store.lock()
     began = time.monotonic()
     for n in range(1000):
-        store.put([Record(USE, str(n % 10), [n], "b", 1.0)])
+        store.put([Record(USAGE, str(n % 10), [n], "b", 1.0)])
     assert time.monotonic() - began < 1.0  # the sync of the first lasts on
     assert len(store._next) <= 10
     full.set()
     held.set()
-    until(lambda: bool(store.notes))
-    assert list(store.notes) == ["store: records: No space left on device; the ingress goes on without"]
+    until(lambda: bool(store.log_lines))
+    assert list(store.log_lines) == ["store: records: No space left on device; the ingress goes on without"]
     full.clear()
-    store.put([Record(USE, "last", [1], "b", 1.0)])
-    until(lambda: "store: written again" in store.notes)
+    store.put([Record(USAGE, "last", [1], "b", 1.0)])
+    until(lambda: "store: written again" in store.log_lines)
     store.close()
-    assert len(store.notes) == 2
-    assert kept(tmp_path)[USE, "9"] == [999]
+    assert len(store.log_lines) == 2
+    assert kept(tmp_path)[USAGE, "9"] == [999]
 
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
@@ -204,16 +221,16 @@
 
     store = Store(tmp_path, OURS, 1 << 20, sync)
     assert store.lock()
-    store.put([Record(WORD, "s-1", [1], "b", 1.0)])
+    store.put([Record(OPERATOR_OVERRIDE, "s-1", [1], "b", 1.0)])
     until(lambda: bool(synced))
     failing.set()
-    store.put([Record(WORD, "s-2", [2], "b", 1.0)])
-    until(lambda: bool(store.notes))
+    store.put([Record(OPERATOR_OVERRIDE, "s-2", [2], "b", 1.0)])
+    until(lambda: bool(store.log_lines))
     failing.clear()
     before = len(synced)
     until(lambda: len(synced) > before)
-    until(lambda: "store: written again" in store.notes)
-    assert kept(tmp_path) == {(WORD, "s-1"): [1], (WORD, "s-2"): [2]}
+    until(lambda: "store: written again" in store.log_lines)
+    assert kept(tmp_path) == {(OPERATOR_OVERRIDE, "s-1"): [1], (OPERATOR_OVERRIDE, "s-2"): [2]}
     store.close()
 
 
@@ -226,33 +243,33 @@
 
     store = Store(tmp_path, OURS, 1 << 20, sync)
     assert store.lock()
-    store.put([Record(WORD, "s-1", [1], "b", 1.0)])
+    store.put([Record(OPERATOR_OVERRIDE, "s-1", [1], "b", 1.0)])
     store.close(LIMIT)
     assert faults == []
-    assert kept(tmp_path) == {(WORD, "s-1"): [1]}
+    assert kept(tmp_path) == {(OPERATOR_OVERRIDE, "s-1"): [1]}
 
 
 def test_one_process_of_two_writes_and_a_disk_that_is_none_is_a_line(tmp_path: Path) -> None:
     one, two = Store(tmp_path / "a", OURS, 1 << 20), Store(tmp_path / "a", OURS, 1 << 20)
     assert one.lock()
     assert not two.lock()
-    two.put([Record(USE, "two", [1], "b", 1.0)])
-    one.put([Record(USE, "one", [1], "b", 1.0)])
+    two.put([Record(USAGE, "two", [1], "b", 1.0)])
+    one.put([Record(USAGE, "one", [1], "b", 1.0)])
     one.close()
     two.close()
-    assert kept(tmp_path / "a") == {(USE, "one"): [1]}
+    assert kept(tmp_path / "a") == {(USAGE, "one"): [1]}
     assert two.lock()  # once the other is gone
     two.close()
     (tmp_path / "file").write_text("")
     none = Store(tmp_path / "file" / "b", OURS, 1 << 20)
     assert not none.lock()
     assert not none.load().records
-    assert none.notes
-    assert "goes on without" in none.notes[0]
+    assert none.log_lines
+    assert "goes on without" in none.log_lines[0]
 
 
 def use(name: str, own: float, others: float, up: float, boot: str = "b") -> Record:
-    return Record(USE, name, ["plain", 0, 3, own, others], boot, up)
+    return Record(USAGE, name, ["plain", 0, 3, own, others], boot, up)
 
 
 @given(
@@ -265,41 +282,43 @@
     at_write: float, more: float, passed: float, uptime: float | None
 ) -> None:
     """Whatever went after the last write and however long the loss lasted; a wall clock is not asked."""
-    records = [use("a", at_write, 0.0, 100.0), Record(BEAT, "", 1, "b", 100.0)]
-    clock = Clock("b", 100.0 + passed) if uptime is None else Clock("c", min(uptime, passed))
+    records = [use("a", at_write, 0.0, 100.0), Record(HEARTBEAT, "", 1, "b", 100.0)]
+    clock = BootClock("b", 100.0 + passed) if uptime is None else BootClock("c", min(uptime, passed))
     truth = max(0.0, min(12.0, at_write + more) - 4.0 * passed)
-    found = trust(records, clock, PLANS)
+    found = select_trusted(records, clock, PLANS)
     level = sum(window.own + window.others for window in found.windows)
     assert truth - 1e-6 <= level <= 12.0
-    assert found.open_in <= 3.0 + 1e-6  # and it is open again when it must be
+    assert found.drained_in <= 3.0 + 1e-6  # and it is open again when it must be
 
 
 def test_what_is_trusted_by_kind_age_and_boot() -> None:
     hint = {"base": {}, "limit": 8.0, "took": 1.0, "stretch": {}}
     records = [
-        Record(WORD, "s-1", [True, 9e9, 9e9], "b", 10.0),
-        Record(EMPTIED, "", [True, 9e9], "b", 10.0),
-        Record(HOP, "s-2", {"id": "s-2"}, "b", 10.0),
-        Record(LEARNT, "", hint, "b", 10.0),
+        Record(OPERATOR_OVERRIDE, "s-1", [True, 9e9, 9e9], "b", 10.0),
+        Record(EVACUATION, "", [True, 9e9], "b", 10.0),
+        Record(NEXT_HOP, "s-2", {"id": "s-2"}, "b", 10.0),
+        Record(LEARNED, "", hint, "b", 10.0),
         use("busy", 2.0, 1.0, 99.5),
         use("idle", 0.0, 0.0, 10.0),
-        Record(USE, "odd", ["plain", 0], "b", 99.0),
-        Record(USE, "gone", ["no-such-plan", 0, 3, 1.0, 1.0], "b", 99.0),
-        Record(BEAT, "", 1, "b", 100.0),
+        Record(USAGE, "odd", ["plain", 0], "b", 99.0),
+        Record(USAGE, "gone", ["no-such-plan", 0, 3, 1.0, 1.0], "b", 99.0),
+        Record(HEARTBEAT, "", 1, "b", 100.0),
     ]
-    now = trust(records, Clock("b", 100.0), PLANS)
-    assert now.words == {"s-1": [True, 9e9, 9e9]}
-    assert now.emptied == (True, 9e9)
-    assert now.hops == [{"id": "s-2"}]
-    assert now.learnt is None
+    now = select_trusted(records, BootClock("b", 100.0), PLANS)
+    assert now.operator_overrides == {"s-1": [True, 9e9, 9e9]}
+    assert now.evacuation == (True, 9e9)
+    assert now.next_hops == [{"id": "s-2"}]
+    assert now.learned is None
     assert [(w.key, w.own + w.others) for w in now.windows] == [("busy", 12.0)]
-    assert (now.drained, now.passed_over) == (2, 1)
-    soon = trust(records[:4], Clock("b", 12.0), PLANS)
-    assert soon.learnt == hint
-    later = trust(records, Clock("c", 60.0), PLANS)
+    assert (now.drained, now.skipped) == (2, 1)
+    soon = select_trusted(records[:4], BootClock("b", 12.0), PLANS)
+    assert soon.learned == hint
+    later = select_trusted(records, BootClock("c", 60.0), PLANS)
     assert not later.windows
-    assert later.learnt is None
-    assert later.words
-    assert later.hops
-    early = trust(records, Clock("b", 50.0), PLANS)  # a boot's clock never goes back: nothing has passed
+    assert later.learned is None
+    assert later.operator_overrides
+    assert later.next_hops
+    early = select_trusted(
+        records, BootClock("b", 50.0), PLANS
+    )  # a boot's clock never goes back: nothing has passed
     assert [w.own + w.others for w in early.windows] == [12.0]
