--- a/standflow/assembly.py
+++ b/standflow/assembly.py
@@ -31,7 +31,7 @@
     from standflow.counter.ledger import Told
     from standflow.counter.witness import Witness
     from standflow.fleet.member import Member
-    from standflow.handshakes.keeper import Keeper
+    from standflow.handshakes.limiter import HandshakeLimiter
     from standflow.ops.operations import Operations
     from standflow.recovery.trust import TrustedState
     from standflow.recovery.writer import StateStoreWriter
@@ -117,7 +117,7 @@
             fetch=self._fetch,
         )
         self.exchange.decisions = self.driver
-        self.keeper = self._make_keeper()
+        self.handshake_limiter = self._make_handshake_limiter()
         self.witness = self._make_witness()
         self.asking = self._make_asking()
         self.speaks = True  # on the ring: of two processes of one ingress one alone does
@@ -176,8 +176,8 @@
 
         def membership_changed(snapshot: Snapshot) -> None:
             self.driver.fleet_seen(snapshot)
-            if self.keeper is not None:
-                self.keeper.limits.sharers = len(snapshot.slow_start_members)
+            if self.handshake_limiter is not None:
+                self.handshake_limiter.limits.sharers = len(snapshot.slow_start_members)
 
         callbacks = MemberCallbacks(
             send=send, address_learned=peers.fill, membership_changed=membership_changed
@@ -357,22 +357,26 @@
         except MaterialError as error:
             raise ConfigError(f"tls: {error}") from None
 
-    def _make_keeper(self) -> Keeper | None:
+    def _make_handshake_limiter(self) -> HandshakeLimiter | None:
         """The limits on handshakes, where they are in force."""
         options, settings, tls = self.config.handshakes, self.config.settings, self.tls
         if options is None:
             return None
-        from standflow.handshakes.keeper import Keeper
+        from standflow.handshakes.limiter import HandshakeLimiter
         from standflow.handshakes.limits import Limits
-        from standflow.handshakes.turns import Warming
+        from standflow.handshakes.time_slots import WarmUp
 
-        warming = Warming(settings.cold_from, settings.cold_time)
+        warm_up = WarmUp(settings.cold_from, settings.cold_time)
         chance = random.Random(self.config.seed + 1)
-        limits = Limits(options, warming, settings.gateways, settings.number, chance, self.driver.offset)
-        keeper = Keeper(self.loop, self.log, limits, self.next_hops, self._show, options.ready)
+        limits = Limits(options, warm_up, settings.gateways, settings.number, chance, self.driver.offset)
+        limiter = HandshakeLimiter(self.loop, self.log, limits, self.next_hops, self._show, options.ready)
         if tls is not None:
-            keeper.resumable, keeper.forget, tls.changed = tls.resumable, tls.forget, keeper.replace
-        return keeper
+            limiter.resumable, limiter.forget, tls.changed = (
+                tls.resumable,
+                tls.forget,
+                limiter.replace_connections,
+            )
+        return limiter
 
     def _make_witness(self) -> Witness | None:
         """The counter beside the ring, where it is switched on."""
@@ -419,10 +423,10 @@
             self.routes.revision = None
         if self.ops is not None and known is not None:
             known = self.ops.overlay.told(known)
-        if self.keeper is not None:
+        if self.handshake_limiter is not None:
             self.driver.start(None)
             if known is not None:
-                self.keeper.routes_told(known)
+                self.handshake_limiter.update_routes(known)
         else:
             if known is not None:
                 self.next_hops.routes_told(known)
@@ -437,7 +441,7 @@
             self.store.start(found)
         if self.routes is not None:
             self.routes.connect()
-        at_once = self.routes is None and self.keeper is None
+        at_once = self.routes is None and self.handshake_limiter is None
         self.loop.call_later(0.0 if at_once else READY_AT_LATEST, self._ready)
         self.loop.call_later(EVERY * random.Random(self.config.seed).random(), self.tally.serve)
 
@@ -464,15 +468,15 @@
 
     def _laid_over(self, routes: RouteSet) -> None:
         """Takes in the route set as operators left it."""
-        if self.keeper is not None:
-            self.keeper.routes_told(routes)
+        if self.handshake_limiter is not None:
+            self.handshake_limiter.update_routes(routes)
             return
         self.next_hops.routes_told(routes)
         self.driver.routes_told(routes)
         self._ready()
 
     def _show(self, routes: RouteSet) -> None:
-        """What the keeper lets the driver know."""
+        """What the handshake limiter lets the driver know."""
         self.driver.routes_told(routes)
         if routes.routes:
             self._ready()
--- a/standflow/handshakes/costs.py
+++ b/standflow/handshakes/costs.py
@@ -10,11 +10,11 @@
 import math
 from collections import deque
 
-KEPT = 32  # samples of a kind; some minutes of a calm day, one storm of a bad one
+MAX_SAMPLES = 32  # samples of a kind; some minutes of a calm day, one storm of a bad one
 QUANTILE = 0.25
-STEP = math.sqrt(2.0)  # costs are rounded up to stated * STEP ** k: ingresses that measure alike agree
-MOST = 8.0  # times what is stated: a next hop in trouble must not stop its own recovery
-HOLD = 0.9  # of the step below must be undercut before the cost falls, so that it does not flap
+COST_STEP = math.sqrt(2.0)  # costs are rounded up to stated * STEP ** k: ingresses that measure alike agree
+MAX_COST_FACTOR = 8.0  # times what is stated: a next hop in trouble must not stop its own recovery
+HYSTERESIS = 0.9  # of the step below must be undercut before the cost falls, so that it does not flap
 
 
 class Costs:
@@ -22,22 +22,22 @@
 
     def __init__(self, full: float, resumed: float) -> None:
         """Both stated by the operator, seconds on a whole core."""
-        self.stated = {False: full, True: resumed}
+        self.configured = {False: full, True: resumed}
         self.samples: dict[tuple[str, bool], deque[float]] = {}
         self.steps: dict[tuple[str, bool], int] = {}
 
-    def seen(self, kind: str, resumed: bool, waited: float, round_trip: float, speed: float) -> None:
+    def observe(self, kind: str, resumed: bool, waited: float, round_trip: float, speed: float) -> None:
         """A handshake that succeeded: seconds waited in all, of the way, and the part of its speed it had."""
-        samples = self.samples.setdefault((kind, resumed), deque(maxlen=KEPT))
+        samples = self.samples.setdefault((kind, resumed), deque(maxlen=MAX_SAMPLES))
         samples.append(max(0.0, waited - round_trip) * min(1.0, max(0.0, speed)))
-        if len(samples) < KEPT // 4:
+        if len(samples) < MAX_SAMPLES // 4:
             return
         low = sorted(samples)[int(QUANTILE * len(samples))]
-        ratio = min(MOST, max(1.0, low / self.stated[resumed]))
-        step, now = math.ceil(math.log(ratio, STEP) - 1e-9), self.steps.get((kind, resumed), 0)
-        if step > now or ratio < HOLD * STEP ** (now - 1):
+        ratio = min(MAX_COST_FACTOR, max(1.0, low / self.configured[resumed]))
+        step, now = math.ceil(math.log(ratio, COST_STEP) - 1e-9), self.steps.get((kind, resumed), 0)
+        if step > now or ratio < HYSTERESIS * COST_STEP ** (now - 1):
             self.steps[kind, resumed] = step
 
     def cost(self, kind: str, resumed: bool) -> float:
         """Processor seconds on a whole core."""
-        return self.stated[resumed] * STEP ** self.steps.get((kind, resumed), 0)
+        return self.configured[resumed] * COST_STEP ** self.steps.get((kind, resumed), 0)
--- a/standflow/handshakes/keeper.py
+++ b/standflow/handshakes/limiter.py
@@ -6,20 +6,20 @@
 from collections.abc import Callable
 
 from standflow.exchange import Outcome, Phase, Route, RouteSet
-from standflow.handshakes.limits import Answer, Limits
-from standflow.handshakes.showing import Showing
+from standflow.handshakes.limits import Decision, Limits
+from standflow.handshakes.visible_routes import VisibleRoutes
 from standflow.net.backend_connection import Connection
 from standflow.net.loop import Loop, Timer
 from standflow.net.nexthop import OURS, NextHops
 from standflow.net.stream import Stream
 from standflow.start_times import StartTimes
 
-SOONEST = 0.002  # seconds between two looks at the same next hop
-NO_ROOM = 0.1  # seconds until the next look where no connection can be opened from here
-REPLACE_EVERY = 0.05  # seconds between looks for connections on old material
+MIN_CHECK_INTERVAL_SECONDS = 0.002  # seconds between two looks at the same next hop
+NO_CAPACITY_RETRY_SECONDS = 0.1  # seconds until the next look where no connection can be opened from here
+REPLACE_INTERVAL_SECONDS = 0.05  # seconds between looks for connections on old material
 
 
-class Keeper:
+class HandshakeLimiter:
     """Stands between the route set, the pools of connections and the driver.
 
     It is the Admission of backend_connection.py.
@@ -31,7 +31,7 @@
         log: Callable[[str], None],
         limits: Limits,
         next_hops: NextHops,
-        show: Callable[[RouteSet], None],
+        publish: Callable[[RouteSet], None],
         ready: int,
         resumable: Callable[[Route], bool] = lambda route: False,
         forget: Callable[[str], None] = lambda hop: None,
@@ -40,8 +40,8 @@
         the store of sessions.
         """
         self.loop, self.log, self.limits, self.next_hops = loop, log, limits, next_hops
-        self.show, self.want_ready, self.resumable, self.forget = show, ready, resumable, forget
-        self.showing = Showing()
+        self.publish, self.min_ready, self.resumable, self.forget = publish, ready, resumable, forget
+        self.visible_routes = VisibleRoutes()
         self.starts = StartTimes()
         self.wanted: set[str] = set()  # a branch found no connection, and none could be opened for it
         self.timers: dict[str, Timer] = {}
@@ -52,41 +52,41 @@
 
     # Route sets.
 
-    def routes_told(self, routes: RouteSet) -> None:
+    def update_routes(self, routes: RouteSet) -> None:
         """Takes in what discovery says; what may be shown goes on to the driver at once."""
-        now, wall = self.loop.now(), time.time()
-        before = set(self.showing.known)
-        passed = self.showing.told(routes, now + self.offset)
+        now, unix_time = self.loop.now(), time.time()
+        before = set(self.visible_routes.entries)
+        visible = self.visible_routes.update(routes, now + self.offset)
         self.next_hops.routes_told(routes)
-        for hop, known in self.showing.known.items():
-            self.limits.told(hop, known.route.kind, self._started(known.route, now, wall), now)
-        for hop in before - set(self.showing.known):
-            self.limits.gone(hop)
+        for hop, entry in self.visible_routes.entries.items():
+            self.limits.update_hop(hop, entry.route.kind, self._started(entry.route, now, unix_time), now)
+        for hop in before - set(self.visible_routes.entries):
+            self.limits.remove(hop)
             self.starts.forget(hop)
             self.forget(hop)
             self.wanted.discard(hop)
-        if passed.routes or passed.complete:
-            self.show(passed)
-        for route in self.showing.waiting():
-            self._look(route.hop)
+        if visible.routes or visible.complete:
+            self.publish(visible)
+        for route in self.visible_routes.awaiting_connection():
+            self._check(route.hop)
 
-    def _started(self, route: Route, now: float, wall: float) -> float | None:
-        """When a next hop started, of the loop's clock; `wall`: Unix time at `now`. None: long ago."""
+    def _started(self, route: Route, now: float, unix_time: float) -> float | None:
+        """When a next hop started, of the loop's clock; `unix_time`: Unix time at `now`. None: long ago."""
         if route.up_since is None:
             return None
-        return self.starts.started(route.hop, route.up_since, now + self.offset, wall) - self.offset
+        return self.starts.started(route.hop, route.up_since, now + self.offset, unix_time) - self.offset
 
     # Admission: what NextHops asks before it dials, and tells after.
 
     def refusal(self, hop: str) -> Outcome | None:
         """None where a branch may dial now, else how it ends: moot, or failed where the next hop does."""
-        answer = self._ask(hop)
-        if answer is Answer.GO:
+        decision = self._decide(hop)
+        if decision is Decision.ALLOW:
             return None
         self.denied += 1
         self.wanted.add(hop)
-        self._look(hop)
-        return Outcome.CONNECT_FAILED if answer is Answer.FAILING else Outcome.MOOT
+        self._check(hop)
+        return Outcome.CONNECT_FAILED if decision is Decision.BACK_OFF else Outcome.MOOT
 
     def began(self, hop: str, stream: Stream) -> None:
         """A connection is dialled."""
@@ -95,24 +95,29 @@
     def opened(self, connection: Connection, reason: str | None) -> None:
         """How it went: empty, the reason of the failure, or None: it was given up from here."""
         hop, stream = connection.hop.route.hop, connection.stream
-        now, offered, figures = self.loop.now(), _offered(stream), stream.handshake
+        now, offered, handshake = self.loop.now(), _offered(stream), stream.handshake
         if reason is None:
             self.limits.given_up(hop, offered)
         elif reason:
             self.limits.failed(hop, offered, now)
-        elif figures is None:
+        elif handshake is None:
             self.limits.succeeded(hop, offered, offered, 0.0, 0.0, now)
         else:
-            self.limits.succeeded(hop, offered, figures.resumed, figures.waited, figures.round_trip, now)
+            self.limits.succeeded(
+                hop, offered, handshake.resumed, handshake.waited, handshake.round_trip, now
+            )
         # Not at once: a failed connection is still counted, and one that rests has yet to replace an old one.
-        self.loop.call_later(0.0, self._look, hop)
+        self.loop.call_later(0.0, self._check, hop)
 
     def rested(self, connection: Connection) -> None:
         """A connection opened ahead is idle now: its next hop may be ready, or an old connection may go."""
         hop = connection.hop
-        if len(hop.idle) >= self.want_ready and (shown := self.showing.ready(hop.route.hop)) is not None:
+        if (
+            len(hop.idle) >= self.min_ready
+            and (visible := self.visible_routes.mark_ready(hop.route.hop)) is not None
+        ):
             self.log(f"handshakes: next hop {hop.route.hop} is ready and shown")
-            self.show(shown)
+            self.publish(visible)
         if connection.stream.generation == self.generation:
             old = next((one for one in hop.idle if one.stream.generation != self.generation), None)
             if old is not None:
@@ -122,46 +127,48 @@
         """A connection has ended; the last one lost throws doubt on its next hop."""
         hop = connection.hop
         if connection.reason not in OURS and not any(one.up for one in hop.connections):
-            self.limits.lost(hop.route.hop, self.loop.now())
+            self.limits.connection_lost(hop.route.hop, self.loop.now())
 
-    def _ask(self, hop: str) -> Answer:
-        known = self.showing.known.get(hop)
-        if known is None:
-            return Answer.LATER
-        return self.limits.ask(hop, self.resumable(known.route), self.loop.now())
+    def _decide(self, hop: str) -> Decision:
+        entry = self.visible_routes.entries.get(hop)
+        if entry is None:
+            return Decision.DEFER
+        return self.limits.decide(hop, self.resumable(entry.route), self.loop.now())
 
-    def _look(self, hop: str) -> None:
+    def _check(self, hop: str) -> None:
         """Opens a connection ahead where one is wanted and allowed; else looks again when it may be."""
         timer = self.timers.pop(hop, None)
         if timer is not None:
             timer.cancel()
-        known = self.showing.known.get(hop)
-        if known is None or known.route.phase is not Phase.SERVING:
+        entry = self.visible_routes.entries.get(hop)
+        if entry is None or entry.route.phase is not Phase.SERVING:
             return
-        waiting = not known.shown and not self.next_hops.ready(hop, self.want_ready)
-        if not waiting and hop not in self.wanted and not self._old(hop):
+        needs_ready = not entry.visible and not self.next_hops.ready(hop, self.min_ready)
+        if not needs_ready and hop not in self.wanted and not self._needs_replacement(hop):
             return
         now = self.loop.now()
-        if self._ask(hop) is Answer.GO:
+        if self._decide(hop) is Decision.ALLOW:
             self.wanted.discard(hop)
             if not self.next_hops.open_ahead(hop):
-                self.timers[hop] = self.loop.call_later(NO_ROOM, self._look, hop)
+                self.timers[hop] = self.loop.call_later(NO_CAPACITY_RETRY_SECONDS, self._check, hop)
                 return
             self.opened_ahead += 1
-            if not waiting or self.next_hops.ready(hop, self.want_ready):
+            if not needs_ready or self.next_hops.ready(hop, self.min_ready):
                 return  # how it ends brings the next look
             now = self.loop.now()
-        when = self.limits.when(hop, self.resumable(known.route), now)
-        self.timers[hop] = self.loop.call_at(max(when, now + SOONEST), self._look, hop)
+        next_attempt = self.limits.next_attempt(hop, self.resumable(entry.route), now)
+        self.timers[hop] = self.loop.call_at(
+            max(next_attempt, now + MIN_CHECK_INTERVAL_SECONDS), self._check, hop
+        )
 
     # Replacement.
 
-    def replace(self, generation: int) -> None:
+    def replace_connections(self, generation: int) -> None:
         """Material of another generation is in use: connections on the one before are replaced in turn."""
         self.generation = generation
-        self._replace()
+        self._replace_old()
 
-    def _old(self, hop: str) -> bool:
+    def _needs_replacement(self, hop: str) -> bool:
         """Every next hop that holds idle connections on old material replaces one at a time.
 
         One that is on its way up ahead of any branch is waited for, however long its handshake takes.
@@ -171,15 +178,15 @@
             return False
         return any(one.stream.generation != self.generation for one in held.idle)
 
-    def _replace(self) -> None:
+    def _replace_old(self) -> None:
         left = False
         for hop, held in self.next_hops.hops.items():
             if any(one.stream.generation != self.generation for one in held.connections):
                 left = True
-                if hop not in self.timers and self._old(hop):
-                    self._look(hop)
+                if hop not in self.timers and self._needs_replacement(hop):
+                    self._check(hop)
         if left:
-            self.loop.call_later(REPLACE_EVERY, self._replace)
+            self.loop.call_later(REPLACE_INTERVAL_SECONDS, self._replace_old)
 
 
 def _offered(stream: Stream) -> bool:
--- a/standflow/handshakes/turns.py
+++ b/standflow/handshakes/time_slots.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Warming:
+class WarmUp:
     """How next hops warm up: the share of their cores at the start, 0 to 1, and the seconds until all."""
 
     cold_from: float
@@ -59,10 +59,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Turns:
+class TimeSlots:
     """The turns of one next hop among `ingresses`, seen from the one with a number."""
 
-    warming: Warming
+    warm_up: WarmUp
     cores: float
     share: float
     cost: float
@@ -70,44 +70,44 @@
     number: int
     hop: str
 
-    def turn(self, age: float) -> int:
+    def slot_at(self, age: float) -> int:
         """The turn that is on at an age in seconds."""
-        return math.floor(self.share * self.warming.work(age, self.cores) / self.cost + 1e-9)
+        return math.floor(self.share * self.warm_up.work(age, self.cores) / self.cost + 1e-9)
 
-    def mine(self, turn: int) -> bool:
+    def is_own(self, slot: int) -> bool:
         """True where a turn belongs to this ingress."""
-        return (turn - self.number - crc32(self.hop.encode())) % self.ingresses == 0
+        return (slot - self.number - crc32(self.hop.encode())) % self.ingresses == 0
 
-    def next_mine(self, turn: int) -> int:
+    def next_own(self, slot: int) -> int:
         """This ingress's first turn from one on."""
-        return turn + (self.number + crc32(self.hop.encode()) - turn) % self.ingresses
+        return slot + (self.number + crc32(self.hop.encode()) - slot) % self.ingresses
 
-    def begins(self, turn: int) -> float:
+    def start_of(self, slot: int) -> float:
         """The age in seconds at which a turn begins."""
-        return self.warming.age_at(turn * self.cost / self.share, self.cores)
+        return self.warm_up.age_at(slot * self.cost / self.share, self.cores)
 
 
 @dataclass(slots=True, frozen=True)
-class BlindTurns(Turns):
+class WallClockSlots(TimeSlots):
     """Turns at a next hop whose start is not known; ages are Unix time instead, in seconds."""
 
-    def turn(self, age: float) -> int:
+    def slot_at(self, age: float) -> int:
         """The turn that is on at a Unix time."""
-        return math.floor(age / self._length())
+        return math.floor(age / self._slot_seconds())
 
-    def begins(self, turn: int) -> float:
+    def start_of(self, slot: int) -> float:
         """The Unix time at which a turn begins."""
-        return turn * self._length()
+        return slot * self._slot_seconds()
 
-    def _length(self) -> float:
-        return self.cost / (self.share * self.cores * self.warming.cold_from)
+    def _slot_seconds(self) -> float:
+        return self.cost / (self.share * self.cores * self.warm_up.cold_from)
 
 
-def bound(turns: Turns, age: float, window: float, others_differ: bool = False) -> float:
+def worst_case_share(slots: TimeSlots, age: float, window: float, costs_differ: bool = False) -> float:
     """The most that all ingresses' handshakes can cost a next hop within a window that begins at an age.
 
     Both in seconds; what is returned is a share of what the next hop can do in that window.
     """
-    able = turns.warming.work(age + window, turns.cores) - turns.warming.work(age, turns.cores)
-    extra = turns.cost * (turns.ingresses if others_differ else 1)
-    return turns.share + extra / able
+    capacity_in_window = slots.warm_up.work(age + window, slots.cores) - slots.warm_up.work(age, slots.cores)
+    extra = slots.cost * (slots.ingresses if costs_differ else 1)
+    return slots.share + extra / capacity_in_window
