--- a/standflow/fleet/join.py
+++ b/standflow/fleet/join.py
@@ -10,11 +10,15 @@
 from standflow.fleet.messages import Address, Kind, State
 from standflow.fleet.table_sync import TableSync
 
-CALL_SECONDS = 1.0  # between calls to an absent member
-LONELY_CALL_SECONDS = 0.25  # the same while nobody is known
-MOST_GREETED = 4  # member ids before ours that are called first: they have to tell us what the ring knows
-EXPECTED_SECONDS = 0.8  # in which those known before a restart have to be heard, or they count as missing
-YOUNG_SECONDS = 6.0  # for which a member is new
+ABSENT_PING_SECONDS = 1.0  # between calls to an absent member
+ABSENT_PING_ALONE_SECONDS = 0.25  # the same while nobody is known
+MAX_NEIGHBOURS_PINGED = (
+    4  # member ids before ours that are called first: they have to tell us what the ring knows
+)
+EXPECTED_TIMEOUT_SECONDS = (
+    0.8  # in which those known before a restart have to be heard, or they count as missing
+)
+STARTUP_SECONDS = 6.0  # for which a member is new
 
 
 @dataclass(slots=True)
@@ -24,46 +28,46 @@
     table: MemberTable
     detector: FailureDetector
     sync: TableSync
-    chance: random.Random
-    born: float
+    rng: random.Random
+    started_at: float
     listed: bool
     seeds: tuple[Address, ...]
-    greeted: int = 0
-    next_call: float = 0.0
+    neighbours_pinged: int = 0
+    next_ping: float = 0.0
     expected: set[int] = field(default_factory=set)  # alive before our restart, and not heard yet
 
-    def is_young(self, now: float) -> bool:
+    def is_starting(self, now: float) -> bool:
         """True while this member is new."""
-        return now - self.born < YOUNG_SECONDS
+        return now - self.started_at < STARTUP_SECONDS
 
     def is_waiting(self, now: float) -> bool:
         """Others were alive before our restart, and they have not had the time to be heard."""
-        return bool(self.expected) and now - self.born < EXPECTED_SECONDS
+        return bool(self.expected) and now - self.started_at < EXPECTED_TIMEOUT_SECONDS
 
     def tick(self, now: float) -> None:
         """Calls a member before ours, and an absent one, when it is time."""
-        if self.greeted < min(MOST_GREETED, self.table.size - 1) and self.listed:
-            self.greeted += 1
-            self.detector.ping(now, (self.table.own_id - self.greeted) % self.table.size)
-        if now >= self.next_call:
-            pause = CALL_SECONDS if len(self.table.updates) > 1 else LONELY_CALL_SECONDS
-            self.next_call = now + pause * self.chance.uniform(0.8, 1.2)
-            self._call_absent(now)
+        if self.neighbours_pinged < min(MAX_NEIGHBOURS_PINGED, self.table.size - 1) and self.listed:
+            self.neighbours_pinged += 1
+            self.detector.ping(now, (self.table.own_id - self.neighbours_pinged) % self.table.size)
+        if now >= self.next_ping:
+            pause = ABSENT_PING_SECONDS if len(self.table.updates) > 1 else ABSENT_PING_ALONE_SECONDS
+            self.next_ping = now + pause * self.rng.uniform(0.8, 1.2)
+            self._ping_absent(now)
 
-    def _call_absent(self, now: float) -> None:
+    def _ping_absent(self, now: float) -> None:
         """A member never heard of, a dead one, or a seed."""
         absent = self._absent()
         known = {update.address for update in self.table.updates.values()}
         seeds = [seed for seed in self.seeds if seed not in known]
-        if seeds and (not absent or self.chance.random() < 0.5):
-            self._call_seed(now, seeds)
+        if seeds and (not absent or self.rng.random() < 0.5):
+            self._ping_seed(now, seeds)
         elif absent:
-            self.detector.ping(now, self.chance.choice(absent))
+            self.detector.ping(now, self.rng.choice(absent))
 
-    def _call_seed(self, now: float, seeds: list[Address]) -> None:
+    def _ping_seed(self, now: float, seeds: list[Address]) -> None:
         outbox = self.detector.outbox
-        if outbox.sends.take(now):
-            seed = self.chance.choice(seeds)
+        if outbox.send_limit.take(now):
+            seed = self.rng.choice(seeds)
             outbox.send(seed, Kind.PING, serial=outbox.next_serial(), cursor=self.sync.cursor)
 
     def _absent(self) -> list[int]:
--- a/standflow/fleet/member.py
+++ b/standflow/fleet/member.py
@@ -49,27 +49,27 @@
         size: int,
         address: Address,
         seeds: tuple[Address, ...],
-        chance: random.Random,
+        rng: random.Random,
         callbacks: MemberCallbacks,
     ) -> None:
         """`seeds`: some to join by, where the members' addresses are not listed; else none."""
         self.loop, self.log, self.callbacks = loop, log, callbacks
-        self.key, self.addresses = derive_key(fleet), bool(seeds)
+        self.key, self.with_addresses = derive_key(fleet), bool(seeds)
         boot_time_ms = round(time.time() * 1000)
         settings = MemberSettings(
             member_id,
             size,
             boot_time_ms,
-            updates_per_datagram(self.addresses),
+            updates_per_datagram(self.with_addresses),
             listed=not seeds,
             address=address if seeds else None,
             seeds=tuple(seed for seed in seeds if seed != address),
         )
-        self.membership = Membership(settings, loop.now(), chance)
-        self.reported: Snapshot | None = None
-        self.reported_at: tuple[int, ...] | None = None  # the revision of that
+        self.membership = Membership(settings, loop.now(), rng)
+        self.last_snapshot: Snapshot | None = None
+        self.reported_revision: tuple[int, ...] | None = None  # the revision of that
         self.is_active = True
-        self.spoiled = 0  # datagrams of another fleet, or garbled
+        self.undecodable = 0  # datagrams of another fleet, or garbled
         self.closed = False
         log(f"fleet: this is place {member_id} of {size} in {fleet}")
         loop.every(lambda: self.membership.tick_interval, self._tick)
@@ -80,9 +80,9 @@
             return False
         message = decode(content, self.key)
         if message is None:
-            self.spoiled += 1
+            self.undecodable += 1
         elif self.is_active:
-            self._carry(self.membership.receive(self.loop.now(), message, sender))
+            self._execute(self.membership.receive(self.loop.now(), message, sender))
         return True
 
     def note_ring_datagram(self, member_id: int) -> None:
@@ -94,7 +94,7 @@
 
         None while who is there is not known yet.
         """
-        if self.reported is None:
+        if self.last_snapshot is None:
             return None
         return {
             str(update.member_id): [update.boot_time_ms, *(update.address or ("", 0))]
@@ -114,7 +114,7 @@
     def leave(self) -> None:
         """The ingress ends in order: the others are told, and miss nobody."""
         if self.is_active:
-            self._carry(self.membership.leave())
+            self._execute(self.membership.leave())
 
     def close(self) -> None:
         """Ends it."""
@@ -130,14 +130,14 @@
             settled_ms=round((self.loop.now() - membership.changed_at) * 1000),
             sent=membership.outbox.sent,
             taken=membership.counts.taken,
-            dropped=self.spoiled + membership.counts.dropped,
+            dropped=self.undecodable + membership.counts.dropped,
         )
 
     def _tick(self) -> None:
         if self.is_active and not self.closed:
-            self._carry(self.membership.tick(self.loop.now()))
+            self._execute(self.membership.tick(self.loop.now()))
 
-    def _carry(self, sends: list[Send]) -> None:
+    def _execute(self, sends: list[Send]) -> None:
         """Carries out what an event led to: datagrams, log lines, and what the module is told."""
         for send in sends:
             self._send(send)
@@ -148,17 +148,17 @@
 
     def _send(self, send: Send) -> None:
         to: int | Address | None = send.to
-        if isinstance(to, int) and self.addresses:
+        if isinstance(to, int) and self.with_addresses:
             to = self._address(to)
         if to is not None:
-            self.callbacks.send(to, encode(send.message, self.key, self.addresses))
+            self.callbacks.send(to, encode(send.message, self.key, self.with_addresses))
 
     def _log_change(self, change: Change) -> None:
         count = len(self.membership.table.alive)
-        became = f"{change.before} -> {change.after} ({change.why})"
+        became = f"{change.before} -> {change.after} ({change.reason})"
         self.log(f"fleet: place {change.member_id}: {became}, {count} present")
         address = self._address(change.member_id)
-        if self.addresses and address is not None:
+        if self.with_addresses and address is not None:
             self.callbacks.address_learned(change.member_id, address)
 
     def _address(self, member_id: int) -> Address | None:
@@ -168,13 +168,18 @@
     def _report(self) -> None:
         """Tells the module of a snapshot that differs from the last one."""
         membership, revision = self.membership, self.membership.revision
-        if membership.waiting or revision == self.reported_at or not membership.joined or membership.left:
+        if (
+            membership.waiting
+            or revision == self.reported_revision
+            or not membership.joined
+            or membership.left
+        ):
             return
-        self.reported_at, snapshot = revision, membership.take_snapshot()
-        if snapshot == self.reported:
+        self.reported_revision, snapshot = revision, membership.take_snapshot()
+        if snapshot == self.last_snapshot:
             return
-        if self.reported is not None and snapshot.has_quorum != self.reported.has_quorum:
+        if self.last_snapshot is not None and snapshot.has_quorum != self.last_snapshot.has_quorum:
             may = "may" if snapshot.has_quorum else "may not"
             self.log(f"fleet: {may} take over for {sorted(snapshot.unreachable)}")
-        self.reported = snapshot
+        self.last_snapshot = snapshot
         self.callbacks.membership_changed(snapshot)
--- a/standflow/fleet/member_table.py
+++ b/standflow/fleet/member_table.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field, replace
 from zlib import crc32
 
-from standflow.fleet.messages import MAX_BOOT_TIME_MS, MAX_INCARNATION, State, Update, packed
+from standflow.fleet.messages import MAX_BOOT_TIME_MS, MAX_INCARNATION, State, Update, pack_update
 
 ALIVE_STATES = (State.ALIVE, State.SUSPECTED)
 
@@ -18,7 +18,7 @@
 
     own_id: int
     size: int  # member ids are below it
-    chance: random.Random
+    rng: random.Random
     updates: dict[int, Update] = field(default_factory=dict)
     digest: int = 0  # equal for equal tables; suspicions are left out, as they pass
     alive: set[int] = field(default_factory=set)
@@ -37,7 +37,7 @@
         update = self.updates.get(member_id)
         return None if update is None else update.state
 
-    def is_news(self, update: Update) -> bool:
+    def is_newer(self, update: Update) -> bool:
         """True for a sound update that is newer than the one held."""
         if update.boot_time_ms > MAX_BOOT_TIME_MS or update.incarnation > MAX_INCARNATION:
             return False
@@ -53,21 +53,21 @@
             self.digest ^= _digest(known)
         self.updates[update.member_id] = update
         self.digest ^= _digest(update)
-        self._sort_into(self.alive, update.member_id, update.state in ALIVE_STATES)
-        self._sort_into(self.dead, update.member_id, update.state is State.DEAD)
+        self._set_membership(self.alive, update.member_id, update.state in ALIVE_STATES)
+        self._set_membership(self.dead, update.member_id, update.state is State.DEAD)
 
     def sample_others(self, most: int) -> list[int]:
         """Some of the others that are alive, by chance."""
         if not self._others:
             self._others = sorted(self.alive - {self.own_id})
-        return self.chance.sample(self._others, min(most, len(self._others)))
+        return self.rng.sample(self._others, min(most, len(self._others)))
 
     def ids_from(self, first: int) -> list[int]:
         """All known member ids from one on, in order."""
         self._ids = self._ids or sorted(self.updates)
         return self._ids[bisect_left(self._ids, first) :]
 
-    def _sort_into(self, members: set[int], member_id: int, belongs: bool) -> None:
+    def _set_membership(self, members: set[int], member_id: int, belongs: bool) -> None:
         if belongs == (member_id in members):
             return
         if belongs:
@@ -80,4 +80,4 @@
 
 def _digest(update: Update) -> int:
     state = State.ALIVE if update.state is State.SUSPECTED else update.state
-    return crc32(packed(replace(update, state=state, address=None)))
+    return crc32(pack_update(replace(update, state=state, address=None)))
--- a/standflow/fleet/messages.py
+++ b/standflow/fleet/messages.py
@@ -19,7 +19,9 @@
 NO_CURSOR = 0xFFFF  # no updates are wanted
 
 _TAG = 6  # bytes
-_HEAD = struct.Struct(">BH6sHIIHH")  # kind, member id, boot time, incarnation, serial, digest, about, cursor
+_HEADER = struct.Struct(
+    ">BH6sHIIHH"
+)  # kind, member id, boot time, incarnation, serial, digest, about, cursor
 _UPDATE = struct.Struct(">H6sHB")  # member id, boot time, incarnation, state
 _ADDRESS = struct.Struct(">4sH")
 
@@ -98,28 +100,28 @@
     return blake2b(fleet.encode(), digest_size=32).digest()
 
 
-def updates_per_datagram(addresses: bool) -> int:
+def updates_per_datagram(with_addresses: bool) -> int:
     """Updates that a datagram holds."""
-    each = _UPDATE.size + (_ADDRESS.size if addresses else 0)
-    return (MAX_DATAGRAM_BYTES - len(MAGIC) - _TAG - _HEAD.size - 1) // each
+    update_size = _UPDATE.size + (_ADDRESS.size if with_addresses else 0)
+    return (MAX_DATAGRAM_BYTES - len(MAGIC) - _TAG - _HEADER.size - 1) // update_size
 
 
-def packed(update: Update) -> bytes:
+def pack_update(update: Update) -> bytes:
     """An update without its address."""
     return _UPDATE.pack(update.member_id, update.boot_time_ms.to_bytes(6), update.incarnation, update.state)
 
 
-def encode(message: Message, key: bytes, addresses: bool) -> bytes:
+def encode(message: Message, key: bytes, with_addresses: bool) -> bytes:
     """The datagram."""
     m = message
     boot_time_ms = m.boot_time_ms.to_bytes(6)
     parts = [
-        _HEAD.pack(m.kind, m.member_id, boot_time_ms, m.incarnation, m.serial, m.digest, m.about, m.cursor)
+        _HEADER.pack(m.kind, m.member_id, boot_time_ms, m.incarnation, m.serial, m.digest, m.about, m.cursor)
     ]
-    parts.append(bytes([addresses]))
+    parts.append(bytes([with_addresses]))
     for update in m.updates:
-        parts.append(packed(update))
-        if addresses:
+        parts.append(pack_update(update))
+        if with_addresses:
             host, port = update.address or ("0.0.0.0", 0)
             parts.append(_ADDRESS.pack(socket.inet_aton(host), port))
     body = b"".join(parts)
@@ -130,15 +132,15 @@
     """The message of a datagram; None where it is not one of this fleet's, or not sound."""
     body = content[len(MAGIC) + _TAG :]
     tag = content[len(MAGIC) : len(MAGIC) + _TAG]
-    if len(body) <= _HEAD.size or tag != blake2b(body, digest_size=_TAG, key=key).digest():
+    if len(body) <= _HEADER.size or tag != blake2b(body, digest_size=_TAG, key=key).digest():
         return None
-    kind, member_id, boot_time_ms, incarnation, serial, digest, about, cursor = _HEAD.unpack_from(body)
-    with_addresses, rest = body[_HEAD.size], body[_HEAD.size + 1 :]
-    each = _UPDATE.size + (_ADDRESS.size if with_addresses else 0)
-    if kind >= len(_KINDS) or len(rest) % each:
+    kind, member_id, boot_time_ms, incarnation, serial, digest, about, cursor = _HEADER.unpack_from(body)
+    with_addresses, rest = body[_HEADER.size], body[_HEADER.size + 1 :]
+    update_size = _UPDATE.size + (_ADDRESS.size if with_addresses else 0)
+    if kind >= len(_KINDS) or len(rest) % update_size:
         return None
     updates = []
-    for at in range(0, len(rest), each):
+    for at in range(0, len(rest), update_size):
         of, began, refuted, state = _UPDATE.unpack_from(rest, at)
         if state >= len(_STATES):
             return None
--- a/standflow/fleet/outbox.py
+++ b/standflow/fleet/outbox.py
@@ -10,7 +10,7 @@
 from standflow.fleet.rate_limit import TokenBucket
 
 SENDS_PER_SECOND, SEND_BURST = 5.0, 5.0  # datagrams begun from here
-HURRIED_SENDS_PER_SECOND = 6.5  # the same while this member is new, or nobody holds what it holds
+CATCH_UP_SENDS_PER_SECOND = 6.5  # the same while this member is new, or nobody holds what it holds
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,10 +27,10 @@
 
     table: MemberTable
     dissemination: Dissemination
-    sends: TokenBucket
+    send_limit: TokenBucket
     sent: int = 0
     last_serial: int = 0
-    waiting: list[Send] = field(default_factory=list)
+    queue: list[Send] = field(default_factory=list)
 
     def next_serial(self) -> int:
         """A number by which an answer is told from others."""
@@ -60,9 +60,9 @@
             updates,
         )
         self.sent += 1
-        self.waiting.append(Send(to, message))
+        self.queue.append(Send(to, message))
 
     def take(self) -> list[Send]:
         """All that wait, in order."""
-        sends, self.waiting = self.waiting, []
+        sends, self.queue = self.queue, []
         return sends
--- a/standflow/fleet/table_sync.py
+++ b/standflow/fleet/table_sync.py
@@ -25,7 +25,7 @@
     next_step: float = 0.0
 
     @property
-    def differs(self) -> bool:
+    def tables_differ(self) -> bool:
         """True while nobody was heard that holds the same."""
         return self.differing_since < math.inf
 
@@ -36,17 +36,17 @@
         else:
             self.member_id, self.differing_since = message.member_id, min(now, self.differing_since)
 
-    def go_on(self, message: Message) -> None:
+    def advance(self, message: Message) -> None:
         """The step that this message answers brought the walk to its cursor."""
         if message.cursor != NO_CURSOR:
             self.cursor = message.cursor
 
-    def is_long(self, now: float) -> bool:
+    def is_prolonged(self, now: float) -> bool:
         """True where tables have differed for twice the time after which a walk begins."""
         return now - self.differing_since > 2 * DIFFERING_SECONDS
 
-    def tick(self, now: float, hurried: bool) -> None:
+    def tick(self, now: float, catching_up: bool) -> None:
         """Takes the next step where tables have differed for long enough."""
         if now >= self.next_step and now - self.differing_since > DIFFERING_SECONDS:
-            self.next_step = now + (STEP_SECONDS / 2 if hurried else STEP_SECONDS)
+            self.next_step = now + (STEP_SECONDS / 2 if catching_up else STEP_SECONDS)
             self.detector.ping(now, self.member_id, self.cursor)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -11,7 +11,11 @@
 from hypothesis import strategies as st
 
 from lab.fleet.simulated import KEY, Members
-from standflow.fleet.failure_detector import LAST_ASK_SECONDS, PUT_OFF_SECONDS, REMOVE_AFTER_SECONDS
+from standflow.fleet.failure_detector import (
+    FINAL_PROBE_MAX_DELAY_SECONDS,
+    FINAL_PROBE_TIMEOUT_SECONDS,
+    REMOVE_AFTER_SECONDS,
+)
 from standflow.fleet.membership import SETTLE_SECONDS, TICK_SECONDS, MemberSettings, Membership
 from standflow.fleet.messages import (
     MAX_DATAGRAM_BYTES,
@@ -24,8 +28,8 @@
     encode,
     updates_per_datagram,
 )
-from standflow.fleet.own_member import CLASH_SECONDS
-from standflow.fleet.reachability import UNHEARD_SECONDS
+from standflow.fleet.own_member import ID_CONFLICT_SECONDS
+from standflow.fleet.reachability import ISOLATION_TIMEOUT_SECONDS
 
 LOSSES = pytest.mark.parametrize("loss", [0.0, 0.065])
 
@@ -151,7 +155,7 @@
 def test_a_room_that_hears_but_is_not_heard_takes_itself_for_cut_off() -> None:
     members = settled(6)
     members.blocked = lambda sender, to: sender in (4, 5) and to not in (4, 5)
-    members.run(UNHEARD_SECONDS + 8.0)
+    members.run(ISOLATION_TIMEOUT_SECONDS + 8.0)
     snapshots = {member_id: membership.take_snapshot() for member_id, membership in members.live.items()}
     assert all(
         snapshots[member_id].alive == {0, 1, 2, 3} and snapshots[member_id].has_quorum
@@ -167,8 +171,11 @@
     members = settled(6)
     mute = members.live[5]
     members.blocked = lambda sender, to: sender == 5
-    assert members.until(lambda: mute.unheard, UNHEARD_SECONDS + 5.0) < UNHEARD_SECONDS + 5.0
-    assert not mute.reachability.deaf
+    assert (
+        members.until(lambda: mute.isolated, ISOLATION_TIMEOUT_SECONDS + 5.0)
+        < ISOLATION_TIMEOUT_SECONDS + 5.0
+    )
+    assert not mute.reachability.not_receiving
     assert not mute.take_snapshot().has_quorum
     whole(members)
     assert members.until(lambda: mute.take_snapshot().has_quorum, 5.0) < 5.0
@@ -191,21 +198,21 @@
     there, suspected = Update(2, 5, 0, State.ALIVE), Update(2, 5, 0, State.SUSPECTED)
     for serial, update in enumerate((there, suspected)):
         membership.receive(0.1, Message(Kind.GOSSIP, 1, 7, 0, serial, 0, 1, 0xFFFF, (update,)), address)
-    membership.outbox.sends.burst = membership.outbox.sends.tokens = 0.0
+    membership.outbox.send_limit.burst = membership.outbox.send_limit.tokens = 0.0
     now = 0.1
-    while now < membership.detector.deadlines[2] + PUT_OFF_SECONDS / 2:
+    while now < membership.detector.deadlines[2] + FINAL_PROBE_MAX_DELAY_SECONDS / 2:
         now += TICK_SECONDS
         assert membership.tick(now) == []
     assert membership.table.updates[2].state.name == "SUSPECTED"
-    membership.outbox.sends.burst = membership.outbox.sends.tokens = 5.0
+    membership.outbox.send_limit.burst = membership.outbox.send_limit.tokens = 5.0
     asked = now + TICK_SECONDS
     while not any(send.to == 2 and send.message.kind is Kind.PING for send in membership.tick(asked)):
         asked += TICK_SECONDS
         assert asked < now + 1.0
-    membership.tick(asked + LAST_ASK_SECONDS / 2)
+    membership.tick(asked + FINAL_PROBE_TIMEOUT_SECONDS / 2)
     assert membership.table.updates[2].state.name == "SUSPECTED"
     for step in range(30):
-        membership.tick(asked + LAST_ASK_SECONDS / 2 + step * TICK_SECONDS)
+        membership.tick(asked + FINAL_PROBE_TIMEOUT_SECONDS / 2 + step * TICK_SECONDS)
     assert membership.table.updates[2].state.name == "DEAD"
 
 
@@ -239,7 +246,7 @@
     first = members.live[2]
     later = MemberSettings(2, 4, first.table.own.boot_time_ms + 5000, 20)
     second = Membership(later, members.now, random.Random(1))
-    for _ in range(int(CLASH_SECONDS)):
+    for _ in range(int(ID_CONFLICT_SECONDS)):
         for one in (first, second):
             members.live[2] = one
             for other in (0, 1, 3):
@@ -345,12 +352,12 @@
     st.lists(UPDATES.filter(lambda update: update.member_id < 4), max_size=30),
     st.randoms(use_true_random=False),
 )
-def test_updates_in_any_order_leave_the_same_table(updates: list[Update], chance: random.Random) -> None:
+def test_updates_in_any_order_leave_the_same_table(updates: list[Update], rng: random.Random) -> None:
     tables = []
     for turn in range(2):
         membership = Membership(MemberSettings(5, 9, 1 << 47, 20), 1.0, random.Random(turn))
         mixed = updates * (turn + 1)
-        chance.shuffle(mixed)
+        rng.shuffle(mixed)
         for update in mixed:
             held = membership.table.updates.get(update.member_id)
             membership.merge(update, "test")
