--- a/standflow/fleet/__init__.py
+++ b/standflow/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Which ingresses are members of the fleet. Off without the block `fleet` of the operator's file.
+"""Membership of the ingress fleet; disabled unless the operator's file has a `fleet` block.
 
-`messages` is the wire, `membership` the decisions with its parts (no I/O), `member` carries them out.
+`messages` is the wire format; `membership` and its parts decide and do no I/O; `member` does the I/O.
 """
--- a/standflow/fleet/dissemination.py
+++ b/standflow/fleet/dissemination.py
@@ -1,4 +1,4 @@
-"""How updates spread: on whatever is sent anyway, some times each, and by walks through the table."""
+"""Spreads updates: piggybacked on other datagrams a limited number of times each, and by table sync."""
 
 from __future__ import annotations
 
@@ -10,33 +10,34 @@
 from standflow.fleet.messages import NO_CURSOR, Address, State, Update
 
 RETRANSMISSIONS = 3  # of an update, for each power of ten of the fleet's size
-LEAVE_RETRANSMISSIONS = 99  # of the update by which this member leaves
-SYNC_GOSSIP_DIVISOR = 4  # news take a part of this of a datagram that carries a walk through the table
+LEAVE_RETRANSMISSIONS = 99  # of this member's own LEFT update
+SYNC_GOSSIP_DIVISOR = 4  # a datagram with a page of the table carries fewer recent updates by this factor
 
 
 @dataclass(slots=True)
 class Dissemination:
-    """The updates to be sent on. `remaining`: how often still, by member id."""
+    """Updates to retransmit. `remaining`: transmissions left, by member id."""
 
     table: MemberTable
     updates_per_datagram: int
     remaining: dict[int, int] = field(default_factory=dict)
 
     def publish(self, update: Update) -> None:
-        """Holds an update in the table and sends it on."""
+        """Stores an update in the table and schedules its transmission."""
         self.table.put(update)
         powers_of_ten = math.ceil(math.log10(len(self.table.updates) + 1))
         self.remaining[update.member_id] = RETRANSMISSIONS * max(1, powers_of_ten)
 
     def publish_only(self, update: Update) -> None:
-        """Holds an update in the table and sends on nothing else."""
+        """Stores an update in the table and from now on transmits no other."""
         self.table.put(update)
         self.remaining = {update.member_id: LEAVE_RETRANSMISSIONS}
 
     def choose(self, to: int | Address, cursor: int) -> tuple[tuple[Update, ...], int]:
-        """What a datagram carries: what its receiver is held for, news, and the walk from `cursor` on.
+        """The updates of one datagram, and the cursor of the next page of the table (0 after the last page).
 
-        Also where the walk goes on: 0 after its end.
+        A receiver that this member does not hold for alive gets its own state first, so that it can refute
+        it. Recent updates follow, then a page of the table from `cursor` on.
         """
         chosen: dict[int, Update] = {}
         if isinstance(to, int) and self.table.state(to) not in (None, State.ALIVE):
--- a/standflow/fleet/member_table.py
+++ b/standflow/fleet/member_table.py
@@ -1,4 +1,4 @@
-"""What one member holds of each other: the newest update on every member id, and what follows from it."""
+"""One member's table: the newest update on every member id, with the sets and the digest derived from it."""
 
 from __future__ import annotations
 
@@ -14,38 +14,38 @@
 
 @dataclass(slots=True)
 class MemberTable:
-    """One member's table. `alive` holds those alive or suspected, this member among them."""
+    """One member's table. `alive` includes suspected members and this member itself."""
 
     own_id: int
-    size: int  # member ids are below it
+    size: int  # member ids are 0 to size - 1
     rng: random.Random
     updates: dict[int, Update] = field(default_factory=dict)
-    digest: int = 0  # equal for equal tables; suspicions are left out, as they pass
+    digest: int = 0  # equal for equal tables; suspicions are excluded because they are temporary
     alive: set[int] = field(default_factory=set)
     dead: set[int] = field(default_factory=set)
-    revision: int = 0  # raised when `alive` or `dead` change
-    _others: list[int] = field(default_factory=list)  # alive, without this one; empty: to be made anew
-    _ids: list[int] = field(default_factory=list)  # all known, sorted; empty: to be made anew
+    revision: int = 0  # incremented when `alive` or `dead` changes
+    _others: list[int] = field(default_factory=list)  # cache of `alive` without this member; empty if stale
+    _ids: list[int] = field(default_factory=list)  # cache of all known ids, sorted; empty if stale
 
     @property
     def own(self) -> Update:
-        """What this member says of itself."""
+        """This member's update on itself."""
         return self.updates[self.own_id]
 
     def state(self, member_id: int) -> State | None:
-        """None for a member that was never heard of."""
+        """The state of a member; None if it is unknown."""
         update = self.updates.get(member_id)
         return None if update is None else update.state
 
     def is_newer(self, update: Update) -> bool:
-        """True for a sound update that is newer than the one held."""
+        """True if an update is valid and newer than the stored one."""
         if update.boot_time_ms > MAX_BOOT_TIME_MS or update.incarnation > MAX_INCARNATION:
             return False
         known = self.updates.get(update.member_id)
         return known is None or (update.version, update.state) > (known.version, known.state)
 
     def put(self, update: Update) -> None:
-        """Holds an update in place of the one before."""
+        """Stores an update in place of the previous one."""
         known = self.updates.get(update.member_id)
         if known is None:
             self._ids = []
@@ -57,13 +57,13 @@
         self._set_membership(self.dead, update.member_id, update.state is State.DEAD)
 
     def sample_others(self, most: int) -> list[int]:
-        """Some of the others that are alive, by chance."""
+        """A random sample of the other members that are alive."""
         if not self._others:
             self._others = sorted(self.alive - {self.own_id})
         return self.rng.sample(self._others, min(most, len(self._others)))
 
     def ids_from(self, first: int) -> list[int]:
-        """All known member ids from one on, in order."""
+        """All known member ids that are not below `first`, in order."""
         self._ids = self._ids or sorted(self.updates)
         return self._ids[bisect_left(self._ids, first) :]
 
--- a/standflow/fleet/messages.py
+++ b/standflow/fleet/messages.py
@@ -1,7 +1,7 @@
-"""What members tell of each other, and its form on the wire. No I/O.
+"""Membership messages and their wire format. No I/O.
 
-A datagram begins with MAGIC and a tag over the rest, keyed by the fleet's name: so it is told from the ring's
-datagrams, and a foreign fleet's or a garbled one is dropped.
+A datagram begins with MAGIC and an authentication tag over the rest, keyed by the fleet's name. MAGIC
+distinguishes it from ring datagrams; the tag rejects corrupted datagrams and those of another fleet.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 MAX_DATAGRAM_BYTES = 256
 MAX_INCARNATION = 0xFFFF
 MAX_BOOT_TIME_MS = (1 << 48) - 1
-NO_CURSOR = 0xFFFF  # no updates are wanted
+NO_CURSOR = 0xFFFF  # no table sync requested
 
 _TAG = 6  # bytes
 _HEADER = struct.Struct(
@@ -29,49 +29,49 @@
 
 
 class State(IntEnum):
-    """What a member is held for; of two updates on one version the higher one holds."""
+    """A member's state; of two updates with the same version the higher state wins."""
 
     ALIVE = 0
     SUSPECTED = 1
-    DEAD = 2  # silent: it crashed, or is cut off
-    REMOVED = 3  # dead for so long, for a majority, that it counts no more
-    LEFT = 4  # it said so itself
+    DEAD = 2  # did not refute a suspicion in time: crashed or partitioned
+    REMOVED = 3  # dead for so long that a side with a quorum no longer counts it
+    LEFT = 4  # announced its own shutdown
 
     @property
     def log_name(self) -> str:
-        """What log lines call it."""
+        """The name of the state in log lines."""
         return _LOG_NAMES[self]
 
 
 class Kind(IntEnum):
-    """What a datagram is for."""
+    """The type of a datagram."""
 
     PING = 0
     ACK = 1
-    INDIRECT_PING = 2  # ping `about` for the sender
-    GOSSIP = 3  # updates alone; no answer is expected
+    INDIRECT_PING = 2  # asks the receiver to ping `about`
+    GOSSIP = 3  # carries updates only; no reply is expected
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class Update:
-    """One member as somebody holds it; the greater by boot time, incarnation and state wins."""
+    """The state of one member; of two updates the greater by boot time, incarnation and state wins."""
 
     member_id: int
-    boot_time_ms: int  # Unix time of its start, or one above that of the process before it
-    incarnation: int  # raised by each refutation since that start
+    boot_time_ms: int  # Unix time of its start, or one more than the boot time of the previous process
+    incarnation: int  # incremented by each refutation since that start
     state: State
-    address: Address | None = None  # where it is not in the settings' list
+    address: Address | None = None  # only where the settings do not list member addresses
 
     @property
     def version(self) -> tuple[int, int]:
-        """Boot time and incarnation: what a refutation must exceed."""
+        """Boot time and incarnation; a refutation must have a higher version."""
         return self.boot_time_ms, self.incarnation
 
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """A datagram. `member_id`, `boot_time_ms` and `incarnation` are the sender's; `about` the member that it
-    vouches for or asks for; `cursor` the member id from which on updates are wanted."""
+    """A datagram. `member_id`, `boot_time_ms` and `incarnation` are the sender's; `about` is the member that
+    an ACK confirms or an INDIRECT_PING asks for; `cursor` is the first member id to sync from."""
 
     kind: Kind
     member_id: int
@@ -84,7 +84,7 @@
     updates: tuple[Update, ...] = ()
 
 
-# Operators and the reader of logs know the states by these names.
+# Operators and the log tools in lab/ rely on these names.
 _LOG_NAMES = {
     State.ALIVE: "present",
     State.SUSPECTED: "suspected",
@@ -96,23 +96,23 @@
 
 
 def derive_key(fleet: str) -> bytes:
-    """The key of a fleet's tags, from its name."""
+    """Derives the key of the authentication tags from the fleet's name."""
     return blake2b(fleet.encode(), digest_size=32).digest()
 
 
 def updates_per_datagram(with_addresses: bool) -> int:
-    """Updates that a datagram holds."""
+    """The maximum number of updates in a datagram."""
     update_size = _UPDATE.size + (_ADDRESS.size if with_addresses else 0)
     return (MAX_DATAGRAM_BYTES - len(MAGIC) - _TAG - _HEADER.size - 1) // update_size
 
 
 def pack_update(update: Update) -> bytes:
-    """An update without its address."""
+    """Packs an update without its address."""
     return _UPDATE.pack(update.member_id, update.boot_time_ms.to_bytes(6), update.incarnation, update.state)
 
 
 def encode(message: Message, key: bytes, with_addresses: bool) -> bytes:
-    """The datagram."""
+    """Encodes a message as a datagram."""
     m = message
     boot_time_ms = m.boot_time_ms.to_bytes(6)
     parts = [
@@ -129,7 +129,7 @@
 
 
 def decode(content: bytes, key: bytes) -> Message | None:
-    """The message of a datagram; None where it is not one of this fleet's, or not sound."""
+    """Decodes a datagram; None if it is corrupted or from another fleet."""
     body = content[len(MAGIC) + _TAG :]
     tag = content[len(MAGIC) : len(MAGIC) + _TAG]
     if len(body) <= _HEADER.size or tag != blake2b(body, digest_size=_TAG, key=key).digest():
@@ -141,14 +141,18 @@
         return None
     updates = []
     for at in range(0, len(rest), update_size):
-        of, began, refuted, state = _UPDATE.unpack_from(rest, at)
+        updated_id, updated_boot_time, updated_incarnation, state = _UPDATE.unpack_from(rest, at)
         if state >= len(_STATES):
             return None
         address = None
         if with_addresses:
             host, port = _ADDRESS.unpack_from(rest, at + _UPDATE.size)
             address = (socket.inet_ntoa(host), port) if port else None
-        updates.append(Update(of, int.from_bytes(began), refuted, _STATES[state], address))
+        updates.append(
+            Update(
+                updated_id, int.from_bytes(updated_boot_time), updated_incarnation, _STATES[state], address
+            )
+        )
     return Message(
         _KINDS[kind],
         member_id,
--- a/standflow/fleet/outbox.py
+++ b/standflow/fleet/outbox.py
@@ -1,4 +1,4 @@
-"""The datagrams that a member is about to send, within its rate."""
+"""Queue of outgoing datagrams and the limit on their rate."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from standflow.fleet.messages import NO_CURSOR, Address, Kind, Message
 from standflow.fleet.rate_limit import TokenBucket
 
-SENDS_PER_SECOND, SEND_BURST = 5.0, 5.0  # datagrams begun from here
-CATCH_UP_SENDS_PER_SECOND = 6.5  # the same while this member is new, or nobody holds what it holds
+SENDS_PER_SECOND, SEND_BURST = 5.0, 5.0  # datagrams that are not replies
+CATCH_UP_SENDS_PER_SECOND = 6.5  # the same while this member is starting or tables differ for long
 
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """A datagram to a member, or to an address where the member's id is not known yet."""
+    """A datagram to a member, or to an address whose member id is not known yet."""
 
     to: int | Address
     message: Message
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Outbox:
-    """Puts datagrams together and keeps them until they are taken out."""
+    """Builds datagrams and queues them until the caller takes them."""
 
     table: MemberTable
     dissemination: Dissemination
@@ -33,7 +33,7 @@
     queue: list[Send] = field(default_factory=list)
 
     def next_serial(self) -> int:
-        """A number by which an answer is told from others."""
+        """The serial number that matches a reply to its request."""
         self.last_serial = (self.last_serial + 1) & 0xFFFFFFFF
         return self.last_serial
 
@@ -45,7 +45,7 @@
         about: int | None = None,
         cursor: int = NO_CURSOR,
     ) -> None:
-        """A datagram with what is to be spread on it; `about` is this member if nobody else is named."""
+        """Queues a datagram with piggybacked updates; `about` defaults to this member."""
         updates, following = self.dissemination.choose(to, cursor)
         own = self.table.own
         message = Message(
@@ -63,6 +63,6 @@
         self.queue.append(Send(to, message))
 
     def take(self) -> list[Send]:
-        """All that wait, in order."""
+        """Empties the queue and returns its datagrams in order."""
         sends, self.queue = self.queue, []
         return sends
--- a/standflow/fleet/rate_limit.py
+++ b/standflow/fleet/rate_limit.py
@@ -1,4 +1,4 @@
-"""A token bucket, with time as an argument."""
+"""Token bucket; the current time is an argument."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Lets through so many a second, and at most `burst` at once."""
+    """Allows `rate_per_second` tokens a second and at most `burst` at once."""
 
     rate_per_second: float
     burst: float
@@ -16,11 +16,11 @@
 
     @classmethod
     def full(cls, rate_per_second: float, burst: float, now: float) -> TokenBucket:
-        """A bucket that lets a whole burst through at once."""
+        """A bucket that starts with a whole burst."""
         return cls(rate_per_second, burst, burst, now)
 
     def take(self, now: float, tokens: int = 1) -> bool:
-        """Takes the tokens and returns true, or takes none where there are too few."""
+        """Takes the tokens and returns True, or takes none and returns False if there are too few."""
         self.tokens = min(self.burst, self.tokens + (now - self.filled_at) * self.rate_per_second)
         self.filled_at = now
         if self.tokens < tokens:
--- a/standflow/fleet/snapshot.py
+++ b/standflow/fleet/snapshot.py
@@ -1,4 +1,4 @@
-"""What follows from the membership at a moment, and which side of a cut may take over."""
+"""A snapshot of the membership, and the quorum rule for network partitions."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Snapshot:
-    """Who is alive, who is missing, and whether this side may take over."""
+    """Which members are alive or unreachable, and whether this side of a partition has a quorum."""
 
     alive: frozenset[int]
     unreachable: frozenset[int]
     has_quorum: bool
-    slow_start_members: frozenset[int]  # by whom cold backends are divided
-    returned: frozenset[int]  # come, or come back, since the last one
+    slow_start_members: frozenset[int]  # share the slow start of cold backends
+    returned: frozenset[int]  # joined or rejoined since the previous snapshot
 
 
 def has_quorum(alive: Set[int], unreachable: Set[int]) -> bool:
-    """True for the side of a cut that may take over: more than half of all, or just half with the lowest id.
+    """True for a side with more than half of all members, or with exactly half including the lowest id.
 
-    No two sides of one fleet can both be.
+    At most one side of a partition has a quorum.
     """
-    ours, both = len(alive), len(alive) + len(unreachable)
-    return 2 * ours > both or (0 < 2 * ours == both and min(alive) < min(unreachable))
+    alive_count, total = len(alive), len(alive) + len(unreachable)
+    return 2 * alive_count > total or (0 < 2 * alive_count == total and min(alive) < min(unreachable))
