--- a/standflow/fleet/join.py
+++ b/standflow/fleet/join.py
@@ -1,4 +1,4 @@
-"""How a member finds the others: neighbours, seeds, absent members, and who was alive before a restart."""
+"""Discovery of other members: by neighbouring ids, seeds, absent members and those known before a restart."""
 
 from __future__ import annotations
 
@@ -10,20 +10,16 @@
 from standflow.fleet.messages import Address, Kind, State
 from standflow.fleet.table_sync import TableSync
 
-ABSENT_PING_SECONDS = 1.0  # between calls to an absent member
-ABSENT_PING_ALONE_SECONDS = 0.25  # the same while nobody is known
-MAX_NEIGHBOURS_PINGED = (
-    4  # member ids before ours that are called first: they have to tell us what the ring knows
-)
-EXPECTED_TIMEOUT_SECONDS = (
-    0.8  # in which those known before a restart have to be heard, or they count as missing
-)
-STARTUP_SECONDS = 6.0  # for which a member is new
+ABSENT_PING_SECONDS = 1.0  # between pings to absent members
+ABSENT_PING_ALONE_SECONDS = 0.25  # the same while no other member is known
+MAX_NEIGHBOURS_PINGED = 4  # preceding ids, pinged first because they forward the ring's state to this member
+EXPECTED_TIMEOUT_SECONDS = 0.8  # members known before a restart count as unreachable if not seen by then
+STARTUP_SECONDS = 6.0
 
 
 @dataclass(slots=True)
 class Join:
-    """Calls to members that nobody holds for alive. `listed`: each can be called by its id alone."""
+    """Pings members that are not known to be alive. `listed`: the settings list every member's address."""
 
     table: MemberTable
     detector: FailureDetector
@@ -34,18 +30,18 @@
     seeds: tuple[Address, ...]
     neighbours_pinged: int = 0
     next_ping: float = 0.0
-    expected: set[int] = field(default_factory=set)  # alive before our restart, and not heard yet
+    expected: set[int] = field(default_factory=set)  # counted before this member's restart, not seen yet
 
     def is_starting(self, now: float) -> bool:
-        """True while this member is new."""
+        """True for STARTUP_SECONDS after the start."""
         return now - self.started_at < STARTUP_SECONDS
 
     def is_waiting(self, now: float) -> bool:
-        """Others were alive before our restart, and they have not had the time to be heard."""
+        """True while members known before the restart may still send their first datagram."""
         return bool(self.expected) and now - self.started_at < EXPECTED_TIMEOUT_SECONDS
 
     def tick(self, now: float) -> None:
-        """Calls a member before ours, and an absent one, when it is time."""
+        """Pings a preceding neighbour, and an absent member when due."""
         if self.neighbours_pinged < min(MAX_NEIGHBOURS_PINGED, self.table.size - 1) and self.listed:
             self.neighbours_pinged += 1
             self.detector.ping(now, (self.table.own_id - self.neighbours_pinged) % self.table.size)
@@ -55,7 +51,7 @@
             self._ping_absent(now)
 
     def _ping_absent(self, now: float) -> None:
-        """A member never heard of, a dead one, or a seed."""
+        """Pings an unknown or dead member, or a seed."""
         absent = self._absent()
         known = {update.address for update in self.table.updates.values()}
         seeds = [seed for seed in self.seeds if seed not in known]
--- a/standflow/fleet/reachability.py
+++ b/standflow/fleet/reachability.py
@@ -1,4 +1,4 @@
-"""Whether the others hear this member: by the answers to its calls, and by what they hold of it."""
+"""Whether this member's datagrams reach the others: by replies to its pings and by its state in updates."""
 
 from __future__ import annotations
 
@@ -9,46 +9,44 @@
 from standflow.fleet.member_table import MemberTable
 from standflow.fleet.messages import Message, State, Update
 
-PING_AFTER_SECONDS = 1.0  # without an answer, one that is heard is asked
+PING_AFTER_SECONDS = 1.0  # without a reply from anybody, a recently seen member is pinged
 PING_INTERVAL_SECONDS = 0.35
-MAX_SAMPLED = 5  # of whom one that was heard just now is asked
-ISOLATION_TIMEOUT_SECONDS = (
-    2.5  # without an answer from any that are heard: this member takes itself for cut off
-)
-ISOLATION_MIN_UNANSWERED = 6  # as many calls must have stayed unanswered, as single ones get lost
+MAX_SAMPLED = 5  # members among which a recently seen one is searched
+ISOLATION_TIMEOUT_SECONDS = 2.5  # without a reply, this member considers itself isolated
+ISOLATION_MIN_UNANSWERED = 6  # unanswered pings before that, as single datagrams get lost
 
 
 @dataclass(slots=True)
 class Reachability:
-    """`deaf`: members that hold this one for dead whatever it says, so that it does not reach them."""
+    """`not_receiving`: members that hold this one for dead despite refutations, so do not receive them."""
 
     table: MemberTable
     detector: FailureDetector
     last_answer_at: float
     unanswered_pings: int = 0
     next_ping: float = 0.0
-    refuted_at: float = -math.inf  # when this member said that it is alive last
+    refuted_at: float = -math.inf  # last refutation
     not_receiving: set[int] = field(default_factory=set)
-    revision: int = 0  # raised when `deaf` changes
+    revision: int = 0  # incremented when `not_receiving` changes
 
     def is_isolated(self, now: float) -> bool:
-        """Whom this one calls, does not answer: it may hear the others, and they not it."""
+        """True if no pings are answered: this member may receive from the others, but not they from it."""
         return (
             self.unanswered_pings >= ISOLATION_MIN_UNANSWERED
             and now - self.last_answer_at > ISOLATION_TIMEOUT_SECONDS
         )
 
     def note_answer(self, now: float) -> None:
-        """A call was answered."""
+        """Records the reply to a ping."""
         self.last_answer_at, self.unanswered_pings = now, 0
 
     def note_refutation(self, now: float) -> None:
-        """This member says that it is alive; whoever holds it for dead should soon know better."""
+        """Records a refutation; members that it reaches stop holding this one for dead soon after."""
         if now - self.refuted_at > ISOLATION_TIMEOUT_SECONDS:
             self.refuted_at = now
 
     def note_own_state_held(self, now: float, message: Message) -> None:
-        """Notes what a message's sender holds this member for."""
+        """Checks the state of this member in a message's updates, and keeps `not_receiving` current."""
         own = self.table.own
         reported = next((update for update in message.updates if _is_of(update, own)), None)
         if reported is not None and reported.state >= State.DEAD and reported.incarnation < own.incarnation:
@@ -63,7 +61,7 @@
             self.revision += 1
 
     def tick(self, now: float) -> None:
-        """Asks one that was heard, where no call was answered for long; tables are compared by it as well."""
+        """Pings a recently seen member after a long time without a reply; the reply also compares digests."""
         if now < self.next_ping or now - self.last_answer_at <= PING_AFTER_SECONDS:
             return
         sampled = self.table.sample_others(MAX_SAMPLED)
--- a/tests/test_fleet_member.py
+++ b/tests/test_fleet_member.py
@@ -82,7 +82,7 @@
     two.loop.run(8.0)
     assert two.logs[1][2:] == [
         "fleet: place 0: present -> suspected (no answer), 2 present",
-        "fleet: place 0: suspected -> gone (silent), 1 present",
+        "fleet: place 0: suspected -> gone (suspicion timed out), 1 present",
         "fleet: may not take over for [0]",
     ]
     assert two.reports[0][-1].has_quorum
--- a/tests/test_fleetlog.py
+++ b/tests/test_fleetlog.py
@@ -108,7 +108,9 @@
 
     heard = "unknown -> present (heard)"
     logs = {
-        "n0": log(0, (1, f"1: {heard}"), (2, f"2: {heard}"), (9, "2: suspected -> gone (silent)")),
+        "n0": log(
+            0, (1, f"1: {heard}"), (2, f"2: {heard}"), (9, "2: suspected -> gone (suspicion timed out)")
+        ),
         "n1": log(1, (1, f"0: {heard}"), (3, f"2: {heard}"), (8, "2: suspected -> gone (told by 0)")),
         "n2": log(2, (2, f"0: {heard}"), (2, f"1: {heard}")),  # killed at 5: it says nothing more
     }
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -268,7 +268,7 @@
     assert [one.own.yielded for one in (first, second)].count(True) == 1
     for one in (first, second):
         assert any(
-            "two have one number" in change.after or "another process" in change.after
+            "two members share an id" in change.after or "another process" in change.after
             for change in one.changes
         )
     given_up = first if first.own.yielded else second
