--- a/standflow/fleet/member.py
+++ b/standflow/fleet/member.py
@@ -1,4 +1,4 @@
-"""Carries a member's decisions out: its datagrams, clock and log lines, and what the module is told."""
+"""Runs the membership: its datagrams, timer and log lines, and reports to the decision module."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
 
 @dataclass(slots=True)
 class MemberCallbacks:
-    """What the membership asks of the ingress."""
+    """The ingress functions that a Member calls."""
 
-    send: Callable[[int | Address, bytes], None]  # to a member, or to an address whose member is not known
-    address_learned: Callable[[int, Address], None]  # a member's address, where none is listed
-    membership_changed: Callable[[Snapshot], None]  # with what follows, each time it is another
+    send: Callable[[int | Address, bytes], None]  # to a member, or to an address whose member id is unknown
+    address_learned: Callable[[int, Address], None]  # where the settings do not list addresses
+    membership_changed: Callable[[Snapshot], None]  # called only with a snapshot that differs
 
 
 @dataclass(slots=True, frozen=True)
 class MemberMetrics:
-    """What operators are shown."""
+    """The metrics `fleet.*` that operators fetch."""
 
     present: int
     suspected: int
-    settled_ms: int  # since the last change of who is there
+    settled_ms: int  # since a member last joined, failed or left
     sent: int
     taken: int
-    dropped: int  # garbled, of another fleet, of an earlier start, or more than is taken in
+    dropped: int  # corrupted, from another fleet, from an earlier process, or above the receive limit
 
 
 class Member:
-    """One ingress as a member. `speak` is false while another process of it is the member."""
+    """One ingress as a member. `is_active` is False while another process of the ingress is the member."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         rng: random.Random,
         callbacks: MemberCallbacks,
     ) -> None:
-        """`seeds`: some to join by, where the members' addresses are not listed; else none."""
+        """`seeds`: addresses to join by; given only where the settings do not list all addresses."""
         self.loop, self.log, self.callbacks = loop, log, callbacks
         self.key, self.with_addresses = derive_key(fleet), bool(seeds)
         boot_time_ms = round(time.time() * 1000)
@@ -67,15 +67,15 @@
         )
         self.membership = Membership(settings, loop.now(), rng)
         self.last_snapshot: Snapshot | None = None
-        self.reported_revision: tuple[int, ...] | None = None  # the revision of that
+        self.reported_revision: tuple[int, ...] | None = None
         self.is_active = True
-        self.undecodable = 0  # datagrams of another fleet, or garbled
+        self.undecodable = 0  # datagrams that are corrupted or from another fleet
         self.closed = False
         log(f"fleet: this is place {member_id} of {size} in {fleet}")
         loop.every(lambda: self.membership.tick_interval, self._tick)
 
     def receive(self, content: bytes, sender: Address) -> bool:
-        """True for a datagram that looks like a membership's, sound or not; the ring's are none of it."""
+        """Processes a datagram; False if it is not a membership datagram but one of the ring."""
         if not content.startswith(MAGIC):
             return False
         message = decode(content, self.key)
@@ -86,13 +86,13 @@
         return True
 
     def note_ring_datagram(self, member_id: int) -> None:
-        """A datagram of the ring came from there."""
+        """Records that a ring datagram from a member arrived."""
         self.membership.note_ring_datagram(self.loop.now(), member_id)
 
     def counted_members(self) -> dict[str, list[Any]] | None:
-        """The others that count in the fleet, for the next start: by member id, boot times and addresses.
+        """The other members that count for the quorum, to be stored for the next start.
 
-        None while who is there is not known yet.
+        By member id, each with boot time, host and port. None while the membership is not known yet.
         """
         if self.last_snapshot is None:
             return None
@@ -102,26 +102,26 @@
         }
 
     def restore_members(self, members: dict[str, list[Any]]) -> None:
-        """What the process before kept of it."""
+        """Restores the members that the previous process stored."""
         known = {
             int(n): (int(boot_time_ms), (host, port) if host else None)
             for n, (boot_time_ms, host, port) in members.items()
         }
         self.membership.restore_members(known)
         if known:
-            self.log(f"fleet: {sorted(known)} were there in an earlier life: asked, and missing until heard")
+            self.log(f"fleet: {sorted(known)} known in an earlier life: unreachable until a datagram arrives")
 
     def leave(self) -> None:
-        """The ingress ends in order: the others are told, and miss nobody."""
+        """Announces the orderly shutdown of the ingress, so that the others do not count it as failed."""
         if self.is_active:
             self._execute(self.membership.leave())
 
     def close(self) -> None:
-        """Ends it."""
+        """Stops the timer's work."""
         self.closed = True
 
     def metrics(self) -> MemberMetrics:
-        """Of now."""
+        """The current metrics."""
         membership = self.membership
         states = [update.state for update in membership.table.updates.values()]
         return MemberMetrics(
@@ -138,7 +138,7 @@
             self._execute(self.membership.tick(self.loop.now()))
 
     def _execute(self, sends: list[Send]) -> None:
-        """Carries out what an event led to: datagrams, log lines, and what the module is told."""
+        """Carries out the results of an event: datagrams, log lines and the report to the module."""
         for send in sends:
             self._send(send)
         for change in self.membership.changes:
@@ -166,7 +166,7 @@
         return None if update is None else update.address
 
     def _report(self) -> None:
-        """Tells the module of a snapshot that differs from the last one."""
+        """Reports a snapshot that differs from the last one to the module."""
         membership, revision = self.membership, self.membership.revision
         if (
             membership.waiting
--- a/standflow/fleet/membership.py
+++ b/standflow/fleet/membership.py
@@ -1,7 +1,7 @@
-"""Who is a member of the fleet: the decisions of one member. No I/O.
+"""The membership protocol of one member: SWIM over member ids. No I/O.
 
-SWIM over member ids. `now` is any clock in seconds that never goes back. The parts: `failure_detector`,
-`dissemination` of updates, `table_sync`, `join`, `reachability` and `own_member`. See docs/design/fleet.md.
+`now` is a monotonic clock in seconds. The protocol's parts are `failure_detector`, `dissemination`,
+`table_sync`, `join`, `reachability` and `own_member`. See docs/design/fleet.md.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 from standflow.fleet.table_sync import TableSync
 
 TICK_SECONDS = 0.1  # between calls of `tick`
-IDLE_TICK_SECONDS = 0.3  # the same while nothing is under way
-STALL_SECONDS = 0.5  # by which a tick may be late before the member doubts itself
-GOSSIP_INTERVAL_SECONDS = 0.3  # between datagrams that carry news alone
-SENDS_RESERVED_FOR_PROBES = 2.0  # of a burst, kept from news for probes
-LEAVE_FANOUT = 12  # others that are told of an orderly end
-SETTLE_SECONDS = 5.0  # without a change after which the membership counts as settled
+IDLE_TICK_SECONDS = 0.3  # the same while there is nothing to do
+STALL_SECONDS = 0.5  # a tick that is later than this counts as a stall of the process
+GOSSIP_INTERVAL_SECONDS = 0.3  # between datagrams that carry only updates
+SENDS_RESERVED_FOR_PROBES = 2.0  # of a burst, not available for gossip
+LEAVE_FANOUT = 12  # members that are notified directly of an orderly shutdown
+SETTLE_SECONDS = 5.0  # without a change before the membership counts as settled
 ANSWERS_PER_SECOND, ANSWER_BURST = 9.0, 5.0
 RECEIVED_PER_SECOND, RECEIVED_BURST = 16.0, 9.0  # more is dropped
 
 
 @dataclass(slots=True)
 class Counts:
-    """Datagrams that came, and what became of them."""
+    """Received datagrams: processed and dropped."""
 
     taken: int = 0
     dropped: int = 0
@@ -42,13 +42,14 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberSettings:
-    """Who this member is, and how it finds the others.
+    """This member's identity, and how it finds the others.
 
-    `listed`: every member can be called by its id; else only those whose address is known, and `seeds`.
+    `listed`: the settings have every member's address. Without that only members whose address was learned
+    can be reached, and `seeds`.
     """
 
     own_id: int
-    size: int  # member ids are below it
+    size: int  # member ids are 0 to size - 1
     boot_time_ms: int
     updates_per_datagram: int
     listed: bool = True
@@ -57,7 +58,7 @@
 
 
 class Membership:
-    """One member's part in the fleet. Its events return what is to be sent."""
+    """The membership as one member sees it. Event methods return the datagrams to send."""
 
     def __init__(self, settings: MemberSettings, now: float, rng: random.Random) -> None:
         self.settings, self.now = settings, now
@@ -70,59 +71,59 @@
         self.sync = TableSync(self.table, self.detector)
         self.join = Join(self.table, self.detector, self.sync, rng, now, settings.listed, settings.seeds)
         self.reachability = Reachability(self.table, self.detector, now)
-        self.changes: list[Change] = []  # taken out by whoever logs them
+        self.changes: list[Change] = []  # cleared by the caller that logs them
         self.own = OwnMember(self.table, self.dissemination, self.reachability, self.changes)
         self.counts = Counts()
         self.answer_limit = TokenBucket.full(ANSWERS_PER_SECOND, ANSWER_BURST, now)
         self.receive_limit = TokenBucket.full(RECEIVED_PER_SECOND, RECEIVED_BURST, now)
-        self.changed_at = now  # when a member came or went last
+        self.changed_at = now  # when a member last joined, failed or left
         self.left = False
-        self._tick_due = now  # the next tick
+        self._tick_due = now
         self._next_gossip = 0.0
-        self._pinged_after_ring: dict[int, float] = {}  # heard on the ring though dead, and called
+        self._pinged_after_ring: dict[int, float] = {}  # dead members that sent a ring datagram
         self._slow_start_members = set(range(settings.size))
         self._returned: set[int] = set()
-        self._own_revision = 0  # raised when `_among` or `_returned` change
+        self._own_revision = 0  # incremented when `_slow_start_members` or `_returned` changes
         own = Update(settings.own_id, settings.boot_time_ms, 0, State.ALIVE, settings.address)
         self.dissemination.publish(own)
 
-    # What is read of it.
+    # Queries.
 
     def alive_ids(self) -> set[int]:
-        """The members held for alive or suspected, this one among them."""
+        """Members that are alive or suspected, including this one."""
         return set(self.table.alive)
 
     def dead_ids(self) -> set[int]:
-        """Dead, and not for so long that they count no more."""
+        """Members that are dead and not removed yet."""
         return set(self.table.dead)
 
     def counted_updates(self) -> list[Update]:
-        """The updates on the others that count in the fleet: alive, or dead and not removed yet.
+        """The updates on the other members that count for the quorum: alive, or dead and not removed yet.
 
-        Those behind a cut are dead to this member. One that restarts has to know of them: were they left out,
-        the smaller side would come back from a loss of power as a whole fleet of its own.
+        Members on the other side of a partition are dead to this one. A restarted member must know of them:
+        without them the smaller side would come back from a power loss as a complete fleet of its own.
         """
         counted = (self.table.alive | self.table.dead) - {self.table.own_id}
         return [self.table.updates[member_id] for member_id in sorted(counted)]
 
     @property
     def joined(self) -> bool:
-        """Another member is or was there."""
+        """True once any other member is known."""
         return len(self.table.updates) > 1
 
     @property
     def waiting(self) -> bool:
-        """Others were alive before our restart, and they have not had the time to be heard."""
+        """True while members known before the restart may still send their first datagram."""
         return self.join.is_waiting(self.now)
 
     @property
     def isolated(self) -> bool:
-        """This member may hear the others, and they not it."""
+        """True if this member's datagrams probably do not reach the others."""
         return self.reachability.is_isolated(self.now)
 
     @property
     def tick_interval(self) -> float:
-        """Seconds until `tick` is due again: each one wakes the process."""
+        """Seconds until the next `tick`; longer when idle, because each tick wakes the process."""
         busy = self.detector.probes or self.detector.deadlines or self.dissemination.remaining
         if busy or self.sync.tables_differ or not self.joined or self.join.is_starting(self.now):
             return TICK_SECONDS
@@ -130,16 +131,16 @@
 
     @property
     def revision(self) -> tuple[int, ...]:
-        """Another one where `take_snapshot` may say something else."""
+        """Changes whenever `take_snapshot` may return something different."""
         parts = (self.table.revision, self.reachability.revision, self._own_revision)
         return (*parts, self.own.yielded, self.isolated)
 
     def has_quorum(self) -> bool:
-        """True for the side of a cut that may take over."""
+        """True if this side of a partition may take over the others' share."""
         return has_quorum(self._reachable(), self._unreachable())
 
     def take_snapshot(self) -> Snapshot:
-        """What follows, for now; who has returned is told once."""
+        """The current snapshot; members that returned are in only one snapshot."""
         returned, slow_start_members = frozenset(self._returned), frozenset(self._slow_start_members)
         self._returned = set()
         counted = self.table.alive | self.table.dead
@@ -152,9 +153,10 @@
     # Events.
 
     def restore_members(self, members: dict[int, tuple[int, Address | None]]) -> None:
-        """Who counted in the fleet before this member's restart, with their boot times and addresses.
+        """Adds the members that counted before this member's restart, with their boot times and addresses.
 
-        They are asked, and missing until heard. An update on them is older than any of their own.
+        They are pinged, and unreachable until a datagram arrives. The updates entered for them are older than
+        any that they publish themselves.
         """
         for member_id, (boot_time_ms, address) in members.items():
             known = member_id in self.table.updates or member_id >= self.table.size
@@ -164,7 +166,7 @@
                 self.join.expected.add(member_id)
 
     def tick(self, now: float) -> list[Send]:
-        """Every `pace`, or so."""
+        """Runs the timers; called about every `tick_interval` seconds."""
         stalled_for = now - self._tick_due
         self.now = now
         if stalled_for > STALL_SECONDS:
@@ -187,7 +189,7 @@
         return self.outbox.take()
 
     def receive(self, now: float, message: Message, sender: Address) -> list[Send]:
-        """A sound datagram of this fleet."""
+        """Processes a decoded datagram of this fleet."""
         self.now = now = max(self.now, now)
         if message.member_id >= self.table.size or self.left or not self.receive_limit.take(now):
             self.counts.dropped += 1
@@ -198,7 +200,7 @@
             return self.outbox.take()
         known = self.table.updates.get(message.member_id)
         if known is not None and (message.boot_time_ms, message.incarnation) < known.version:
-            self.counts.dropped += 1  # of a process before, or an old datagram
+            self.counts.dropped += 1  # from an earlier process, or delayed
             return []
         self.detector.note_received(now, message.member_id)
         self._merge_all(message, sender)
@@ -207,7 +209,7 @@
         return self.outbox.take()
 
     def note_ring_datagram(self, now: float, member_id: int) -> None:
-        """A datagram of the ring came from a member: a sign of life."""
+        """Records that a ring datagram from a member arrived, which shows that it is alive."""
         state = self.table.state(member_id)
         if state is None:
             return
@@ -215,10 +217,10 @@
         pinged_at = self._pinged_after_ring.get(member_id)
         if state not in ALIVE_STATES and (pinged_at is None or now - pinged_at > ABSENT_PING_SECONDS):
             self._pinged_after_ring[member_id] = now
-            self.detector.ping(self.now, member_id)  # it hears what it is held for, and says otherwise
+            self.detector.ping(self.now, member_id)  # the ping carries its state, which it then refutes
 
     def leave(self) -> list[Send]:
-        """This member ends in order: some are told, and they tell the others."""
+        """Announces an orderly shutdown to some members, which spread it."""
         if not self.left and not self.own.yielded:
             self.own.leave()
             for member_id in self.table.sample_others(LEAVE_FANOUT):
@@ -227,7 +229,7 @@
         return self.outbox.take()
 
     def merge(self, update: Update, reason: str) -> None:
-        """Takes an update in where it is newer than the one held."""
+        """Applies an update if it is newer than the stored one."""
         if update.member_id == self.table.own_id:
             self.own.refute_if_wrong(self.now, update, reason)
             return
@@ -244,7 +246,7 @@
         if update.state is State.DEAD:
             self.own.raise_if_many_dead(self.now)
 
-    # Parts of those.
+    # Helpers.
 
     def _reachable(self) -> set[int]:
         return self.table.alive - self.reachability.not_receiving
@@ -253,7 +255,7 @@
         return self.table.dead | (self.reachability.not_receiving & self.table.alive)
 
     def _discount_stall(self, stalled_for: float) -> None:
-        """What was missed while this process stood still is no silence of the others."""
+        """Moves timers by the length of a stall: datagrams missed in it are no sign of failed members."""
         self.detector.shift(stalled_for)
         self.reachability.last_answer_at += stalled_for
         self.changed_at += stalled_for
@@ -274,7 +276,7 @@
         for member_id in self.detector.long_dead(self.now):
             if quorum or member_id in self.join.expected:
                 removed = replace(self.table.updates[member_id], state=State.REMOVED)
-                self.merge(removed, "gone for long")
+                self.merge(removed, "unreachable for long")
 
     def _update_slow_start_members(self) -> None:
         settled = self.joined and self.now - self.changed_at >= SETTLE_SECONDS
@@ -283,14 +285,14 @@
             self._own_revision += 1
 
     def _merge_all(self, message: Message, sender: Address) -> None:
-        """What a message says of its sender, and what it brings of others."""
+        """Merges what a message says of its sender, and its updates."""
         address = None if self.settings.listed else sender
         version = (message.boot_time_ms, message.incarnation)
-        self.merge(Update(message.member_id, *version, State.ALIVE, address), "heard")
+        self.merge(Update(message.member_id, *version, State.ALIVE, address), "datagram received")
         self.reachability.note_own_state_held(self.now, message)
         for update in message.updates:
             if update.member_id < self.table.size and self.table.updates.get(update.member_id) != update:
-                self.merge(update, f"told by {message.member_id}")
+                self.merge(update, f"reported by {message.member_id}")
 
     def _respond(self, message: Message) -> None:
         if message.kind is Kind.PING:
@@ -326,7 +328,7 @@
             self.changes.append(Change(update.member_id, before, after, reason))
 
     def _note_transition(self, known: Update | None, update: Update) -> None:
-        """Notes who came, came back or went."""
+        """Records members that joined, returned, failed or left."""
         was_alive = known is not None and known.state in ALIVE_STATES
         is_alive = update.state in ALIVE_STATES
         restarted = known is not None and update.boot_time_ms > known.boot_time_ms
--- a/tests/test_fleet_member.py
+++ b/tests/test_fleet_member.py
@@ -74,7 +74,7 @@
     for own_id in (0, 1):
         assert two.logs[own_id] == [
             f"fleet: this is place {own_id} of 2 in lab",
-            f"fleet: place {1 - own_id}: unknown -> present (heard), 2 present",
+            f"fleet: place {1 - own_id}: unknown -> present (datagram received), 2 present",
         ]
         assert two.reports[own_id][-1].has_quorum
         assert two.members[own_id].metrics().present == 2
@@ -123,7 +123,7 @@
     two.members[0].leave()
     two.members[0].close()
     two.loop.run(1.0)
-    assert two.logs[1][-1].startswith("fleet: place 0: present -> left (told by 0)")
+    assert two.logs[1][-1].startswith("fleet: place 0: present -> left (reported by 0)")
 
 
 @pytest.mark.parametrize("size", range(1, 7))
--- a/tests/test_fleetlog.py
+++ b/tests/test_fleetlog.py
@@ -106,12 +106,12 @@
         own = line.format(t=0, text=f"this is place {place} of 3 in lab")
         return own + "".join(line.format(t=t, text=f"place {text}, 3 present") for t, text in changes)
 
-    heard = "unknown -> present (heard)"
+    heard = "unknown -> present (datagram received)"
     logs = {
         "n0": log(
             0, (1, f"1: {heard}"), (2, f"2: {heard}"), (9, "2: suspected -> gone (suspicion timed out)")
         ),
-        "n1": log(1, (1, f"0: {heard}"), (3, f"2: {heard}"), (8, "2: suspected -> gone (told by 0)")),
+        "n1": log(1, (1, f"0: {heard}"), (3, f"2: {heard}"), (8, "2: suspected -> gone (reported by 0)")),
         "n2": log(2, (2, f"0: {heard}"), (2, f"1: {heard}")),  # killed at 5: it says nothing more
     }
     spans = differing(read_fleet(write(tmp_path, **logs))).rows()
