--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,6 +1,6 @@
-"""Several real ingresses, with faults between them: their rules, their quotas, and one view in the end.
+"""Several real ingresses with faults between them keep their rules and quotas, and agree on membership.
 
-Each case is a schedule played under load; what it must keep is read from the record alone.
+Each case plays a schedule under load; the checks read only the record of the run.
 """
 
 from __future__ import annotations
@@ -52,9 +52,9 @@
     "half-from-half": (4, "6 cut 2 3\n14 heal", 20.0),
     "seven-of-ten-killed": (10, "5 kill 3 4 5 6 7 8 9\n11 start 3 4 5 6 7 8 9", 17.0),
     "back-within-and-after-the-suspicion": (5, "5 kill 3\n5.6 start 3\n9 kill 2\n14.5 start 2", 18.0),
-    "heard-by-nobody": (5, "5 mute 4\n13 heal", 18.0),
+    "outbound-datagrams-lost": (5, "5 mute 4\n13 heal", 18.0),
     "chain": (3, "4 block 0 2", 16.0),
-    "held-again-and-again": (5, "4 hold 1 3s\n8 hold 1 3s\n12 hold 1 3s", 17.0),
+    "paused-repeatedly": (5, "4 hold 1 3s\n8 hold 1 3s\n12 hold 1 3s", 17.0),
     "rolling-restart-in-a-cut": (
         5,
         "4 cut 3 4\n5 stop 0\n6 start 0\n7 stop 1\n8 start 1\n9 stop 4\n10 start 4\n12 heal",
@@ -70,19 +70,19 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_rules_quotas_and_one_view_whatever_is_done_to_the_fleet(name: str, seed: int) -> None:
+def test_rules_quotas_and_one_membership_whatever_is_done_to_the_fleet(name: str, seed: int) -> None:
     size, text, span = CASES[name]
     with Site(size, seed=seed) as site:
         assert site.until_agreed(LIMIT) < LIMIT
         site.run(schedule.read(text, size), span)
         assert site.until_agreed(LIMIT) < LIMIT
         table = record(site)
-    assert table.filter(pl.col("end") == "served").height > 50  # something was played
+    assert table.filter(pl.col("end") == "served").height > 50  # the load was played
     assert faults(table) == []
 
 
 ON_STREAMS = {
-    "boxes-cut-off-without-a-word": ("0 box-delay 5ms\n4 box-cut 0 1\n8 box-heal", 13.0),
+    "boxes-silently-cut-off": ("0 box-delay 5ms\n4 box-cut 0 1\n8 box-heal", 13.0),
     "connections-to-boxes-reset": ("4 box-reset 0 1 2\n6 box-heal\n8 box-reset 3\n9 box-heal", 13.0),
     "a-box-drains-and-is-back-cold-in-a-cut": ("4 cut 3 4\n5 drain 0\n7 back 0\n11 heal", 15.0),
     "lists-silent-and-a-member-killed": ("3 list-cut 0 1 2\n5 kill 4\n8 start 4\n9 box-heal", 13.0),
@@ -104,7 +104,7 @@
     assert faults(table) == []
 
 
-def test_streams_are_held_late_and_reset() -> None:
+def test_streams_are_delayed_paused_and_reset() -> None:
     with socket.create_server(("127.0.0.1", 0)) as server, Streams(2, [server.getsockname()]) as streams:
         near, far = [], []
         for n in range(2):
@@ -143,8 +143,9 @@
             sock.close()
 
 
-def test_without_a_view_a_cut_spends_far_more_than_the_quota(seed: int) -> None:
-    # The control of the cut with a view, which stays under 1.10 where 1.65 and more are asked for.
+def test_without_membership_a_partition_spends_far_more_than_the_quota(seed: int) -> None:
+    # The control of the partition with membership, which stays under 1.10 of the allowance while callers ask
+    # for 1.65 and more.
     with Site(5, view=False, seed=seed) as site:
         site.run(schedule.read("3 cut 3 4", 5), 16.0)
         asked = judge([replace(one, ran=True) for one in site.tries()], RATE, BURST)
@@ -163,7 +164,7 @@
         assert site.until_agreed(LIMIT) < LIMIT
         assert [view for view in site.views().values()] == [{0, 1, 2}] * 3
         left = [line for line in site.live[0].log if "-> left" in line]
-        assert len(left) >= 9  # they said so themselves
+        assert len(left) >= 9  # announced by the members themselves
     assert all(ingress.process.returncode in (0, None) for _, _, ingress in site.lives)
 
 
@@ -202,8 +203,8 @@
     return ports
 
 
-def shown(ingress: Ingress, name: str) -> int:
-    """One of the operators' figures."""
+def metric(ingress: Ingress, name: str) -> int:
+    """One of the metrics that operators fetch."""
     match = ingress.logged(r"ops \S+ on ([\d.]+):(\d+)")
     with socket.create_connection((match[1], int(match[2])), LIMIT) as sock:
         sock.sendall(b"GET /api/telemetry HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -221,7 +222,7 @@
         time.sleep(0.05)
 
 
-def test_members_join_by_a_seed_though_the_others_are_dead_and_a_foreign_fleet_is_not_heard(
+def test_members_join_by_a_seed_though_the_others_are_dead_and_a_foreign_fleet_is_ignored(
     tmp_path: Path,
 ) -> None:
     ports = free_ports(5)
@@ -239,43 +240,43 @@
         start(1, "one", dead, ports[0])
         start(2, "one", ports[1])
         start(5, "other", ports[0])
-        wait_for(lambda: all(shown(one, "fleet.present") == 3 for one in running[:3]))
-        assert shown(running[3], "fleet.present") == 1
-        wait_for(lambda: shown(running[0], "fleet.dropped") > 0)  # of the other fleet
+        wait_for(lambda: all(metric(one, "fleet.present") == 3 for one in running[:3]))
+        assert metric(running[3], "fleet.present") == 1
+        wait_for(lambda: metric(running[0], "fleet.dropped") > 0)  # datagrams of the other fleet
         running[0].process.kill()  # the seed itself
         start(3, "one", ports[1])
         wait_for(
-            lambda: all(shown(one, "fleet.present") == 3 for one in (running[1], running[2], running[4]))
+            lambda: all(metric(one, "fleet.present") == 3 for one in (running[1], running[2], running[4]))
         )
-        assert shown(running[1], "fleet.suspected") == 0
-        assert shown(running[1], "fleet.sent") > 0 < shown(running[1], "fleet.taken")
+        assert metric(running[1], "fleet.suspected") == 0
+        assert metric(running[1], "fleet.sent") > 0 < metric(running[1], "fleet.taken")
     finally:
         for one in running:
             one.process.kill()
             one.end()
 
 
-def test_an_upgrade_during_a_suspicion_is_one_member_all_the_while(tmp_path: Path) -> None:
-    """Two processes with one passed socket: the newer one speaks, and nobody loses the place."""
+def test_an_upgrade_during_a_suspicion_keeps_one_member(tmp_path: Path) -> None:
+    """Two processes share one passed socket: only the newer one is active, and the member id is kept."""
     ports = free_ports(2)
     peers = "".join(f"peer 127.0.0.1:{port}\n" for port in ports)
     for n in (0, 1):
         text = SEEDED.format(n=n, port=ports[n], fleet="one", seeds="").replace("ingresses 6", "ingresses 2")
         (tmp_path / f"{n}.conf").write_text(text + peers)
     other = Ingress(tmp_path / "1.conf")
-    with socket.create_server(("127.0.0.1", 0), backlog=64) as door:
-        environment = {"EDGE_PASSED_SOCKET": f"{door.fileno()}", "TMPDIR": f"{tmp_path}"}
-        started = [Ingress(tmp_path / "0.conf", (door.fileno(),), environment)]
+    with socket.create_server(("127.0.0.1", 0), backlog=64) as listener:
+        environment = {"EDGE_PASSED_SOCKET": f"{listener.fileno()}", "TMPDIR": f"{tmp_path}"}
+        started = [Ingress(tmp_path / "0.conf", (listener.fileno(),), environment)]
         try:
-            wait_for(lambda: shown(other, "fleet.present") == 2)
+            wait_for(lambda: metric(other, "fleet.present") == 2)
             started[0].signal(signal.SIGSTOP)
             other.logged(r"fleet: place 0: present -> suspected")
             started[0].signal(signal.SIGCONT)
-            started.append(Ingress(tmp_path / "0.conf", (door.fileno(),), environment))
+            started.append(Ingress(tmp_path / "0.conf", (listener.fileno(),), environment))
             started[1].logged("took over what the process before knows")
             other.logged(r"fleet: place 0: .* -> present in a new life")
-            assert started[0].end() == 0  # it is silent, and takes nobody's place with it
-            wait_for(lambda: shown(other, "fleet.present") == 2)
+            assert started[0].end() == 0  # it sends nothing, so the member does not leave with it
+            wait_for(lambda: metric(other, "fleet.present") == 2)
             assert not any("-> left" in line for line in other.log)
         finally:
             for one in (*started, other):
@@ -283,7 +284,7 @@
                 one.end()
 
 
-def test_without_the_block_nothing_of_it_is_imported_and_with_it_datagrams_are_needed(tmp_path: Path) -> None:
+def test_without_the_fleet_block_nothing_is_imported_and_with_it_datagrams_are_needed(tmp_path: Path) -> None:
     code = "import sys, standflow.__main__; print([m for m in sys.modules if 'standflow.fleet' in m])"
     ran = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True, cwd=ROOT)
     assert ran.stdout == b"[]\n"
@@ -293,7 +294,7 @@
         load(str(path), os.environ, lambda line: None)
 
 
-# The checkers, each with a record that breaks its rule, and the schedules.
+# The checkers, each with a record that violates its rule, and the schedules.
 
 
 def table(*rows: dict[str, Any]) -> pl.DataFrame:
@@ -314,7 +315,7 @@
     } | more
 
 
-def test_each_checker_finds_what_breaks_its_rule() -> None:
+def test_each_checker_finds_a_violation_of_its_rule() -> None:
     ended = {"t": 5.05, "what": "ended", "member": 0}
     assert unanswered(table(asked(1.0, "x", "lost"))) == 1
     assert unanswered(table(asked(5.0, "x", "lost"), ended)) == 0
@@ -335,21 +336,21 @@
     gone = {"t": 3.0, "what": "view", "member": 0, "place": 1, "state": "gone"}
     assert not views(table(*began, *heard, gone)).agree
     assert views(table(*began, *heard, gone, {"t": 4.0, "what": "ended", "member": 1})).agree
-    word = {"t": 1.0, "what": "step", "member": 1, "state": "drain"}
-    back = word | {"t": 5.0, "state": "back"}
+    drain = {"t": 1.0, "what": "step", "member": 1, "state": "drain"}
+    back = drain | {"t": 5.0, "state": "back"}
     came = {"what": "came", "place": 1, "took": 0.5}
     kept = [came | {"t": 1.2}, came | {"t": 5.1}, came | {"t": 3.0, "place": 0}]
-    assert to_drained(table(word, back, *kept)) == 0
-    assert to_drained(table(word, back, *kept, came | {"t": 3.0})) == 1
-    assert to_drained(table(word, came | {"t": 9.0})) == 1
-    falls = int(4.0 * (0.15 + 0.85 * 1.5 / 17.0) * 3.0 / 0.5)  # requests at once
-    assert pushed(table(back, *[came | {"t": 5.1}] * (falls - 1))) < 1.0
-    assert pushed(table(back, *[came | {"t": 5.1}] * (falls + 2))) > 1.0
+    assert to_drained(table(drain, back, *kept)) == 0
+    assert to_drained(table(drain, back, *kept, came | {"t": 3.0})) == 1
+    assert to_drained(table(drain, came | {"t": 9.0})) == 1
+    overload = int(4.0 * (0.15 + 0.85 * 1.5 / 17.0) * 3.0 / 0.5)  # concurrent requests that overload it
+    assert pushed(table(back, *[came | {"t": 5.1}] * (overload - 1))) < 1.0
+    assert pushed(table(back, *[came | {"t": 5.1}] * (overload + 2))) > 1.0
     assert pushed(table(back, *[came | {"t": 4.9}] * 99, *[came | {"t": 23.0}] * 99)) == 0.0
     assert len(faults(table(asked(1.0, "x", "lost"), asked(2.0, "x", took=9.0), ran, ran, *began))) == 5
 
 
-def test_a_schedule_is_read_drawn_alike_from_a_seed_and_a_bad_line_is_named(tmp_path: Path) -> None:
+def test_a_schedule_is_read_drawn_reproducibly_from_a_seed_and_a_bad_line_is_named(tmp_path: Path) -> None:
     steps = schedule.read("8 heal\n0 loss 6.5% # always\n\n2 hold 1 3s\n1 kill 0 2", 3)
     assert [(s.at, s.what, s.members, s.amount) for s in steps] == [
         (0.0, "loss", (), 0.065),
--- a/tests/test_fleet_member.py
+++ b/tests/test_fleet_member.py
@@ -1,4 +1,4 @@
-"""A member's log lines, figures and reports, and the small parts of its decisions."""
+"""A member's log lines, metrics and reports; the quorum rule and the token bucket."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class Two:
-    """Two members on one loop; a cut between them drops what they send."""
+    """Two members on one loop; while `is_cut` is set, their datagrams are dropped."""
 
     def __init__(self) -> None:
         self.loop, self.is_cut = FakeLoop(), False
@@ -68,7 +68,7 @@
         assert self.members[to].receive(content, ("127.0.0.1", 1))
 
 
-def test_log_lines_figures_and_reports_of_a_cut_and_its_end() -> None:
+def test_log_lines_metrics_and_reports_of_a_partition_and_its_end() -> None:
     two = Two()
     two.loop.run(2.0)
     for own_id in (0, 1):
@@ -95,12 +95,12 @@
     two.is_cut = False
     two.loop.run(3.0)
     assert "fleet: may take over for []" in two.logs[1]
-    assert [report.returned for report in two.reports[1]].count(frozenset({0})) == 2  # each time once
+    assert [report.returned for report in two.reports[1]].count(frozenset({0})) == 2  # first join and return
     assert two.reports[1][-1].has_quorum
     assert all(member.metrics().present == 2 for member in two.members)
 
 
-def test_who_is_held_for_dead_is_kept_for_the_next_start_and_who_has_left_is_not() -> None:
+def test_dead_members_are_stored_for_the_next_start_and_members_that_left_are_not() -> None:
     two = Two()
     two.loop.run(2.0)
     known = two.members[1].counted_members()
@@ -117,7 +117,7 @@
     assert two.members[1].counted_members() == {}
 
 
-def test_an_orderly_end_is_logged_as_such() -> None:
+def test_an_orderly_shutdown_is_logged_as_such() -> None:
     two = Two()
     two.loop.run(2.0)
     two.members[0].leave()
@@ -127,14 +127,14 @@
 
 
 @pytest.mark.parametrize("size", range(1, 7))
-def test_one_side_of_each_cut_and_no_more_has_a_quorum(size: int) -> None:
+def test_exactly_one_side_of_each_partition_has_a_quorum(size: int) -> None:
     members = set(range(size))
     sides = chain.from_iterable(combinations(members, taken) for taken in range(size + 1))
     for side in map(set, sides):
         assert has_quorum(side, members - side) != has_quorum(members - side, side)
 
 
-def test_a_token_bucket_lets_a_burst_through_and_then_its_rate() -> None:
+def test_a_token_bucket_allows_a_burst_and_then_its_rate() -> None:
     bucket = TokenBucket.full(2.0, 3.0, 10.0)
     assert [bucket.take(10.0) for _ in range(4)] == [True, True, True, False]
     assert not bucket.take(10.4)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The membership of a fleet in simulated time: joins, crashes, cuts, clocks, and updates of any kind."""
+"""Membership in simulated time: joins, crashes, partitions, clock steps, and arbitrary updates."""
 
 from __future__ import annotations
 
@@ -47,12 +47,12 @@
     members.blocked = lambda sender, to: of[sender] != of[to]
 
 
-def whole(members: Members) -> None:
+def heal(members: Members) -> None:
     members.blocked = lambda sender, to: False
 
 
 @LOSSES
-def test_a_crash_and_a_join_are_known_to_all_in_time(loss: float) -> None:
+def test_a_crash_and_a_join_reach_all_members_in_time(loss: float) -> None:
     members = settled(20, loss=loss)
     members.kill(7)
     assert members.until(members.agree, 5.0) < 5.0
@@ -77,7 +77,7 @@
 
 
 @LOSSES
-def test_half_cut_off_from_half_has_one_side_that_may_take_over_and_joins(loss: float) -> None:
+def test_two_equal_halves_have_one_side_with_a_quorum_and_merge_again(loss: float) -> None:
     members = settled(6, loss=loss)
     cut(members, {0, 2, 4}, {1, 3, 5})
     sides = {0: {0, 2, 4}, 1: {1, 3, 5}}
@@ -91,22 +91,22 @@
         2,
         4,
     }
-    whole(members)
+    heal(members)
     assert members.until(members.agree, 5.0) < 5.0
 
 
-def test_after_a_removal_a_join_brings_the_removed_back() -> None:
+def test_removed_members_return_when_the_partition_heals() -> None:
     members = settled(5)
     cut(members, {0, 1, 2}, {3, 4})
     members.run(REMOVE_AFTER_SECONDS + 10.0)
     assert members.live[0].table.updates[3].state is State.REMOVED
     assert members.live[0].has_quorum()
     assert not members.live[3].has_quorum()
-    whole(members)
+    heal(members)
     assert members.until(members.agree, 5.0) < 5.0
 
 
-def test_a_member_back_within_the_suspicions_time_and_after_it_is_told_from_its_former_life() -> None:
+def test_a_restart_before_and_after_the_suspicion_timeout_is_distinguished_from_the_earlier_process() -> None:
     members = settled(5)
     for wait in (0.3, 6.0):
         before = members.live[2].table.own.boot_time_ms
@@ -125,7 +125,7 @@
         )
 
 
-def test_a_clock_put_back_between_two_lives_loses_nothing() -> None:
+def test_a_member_rejoins_after_its_clock_was_set_back_between_two_process_runs() -> None:
     members = settled(4)
     members.kill(1)
     members.start(1, at=members.now - 3600.0)
@@ -133,7 +133,7 @@
     assert not members.live[1].own.yielded
 
 
-def test_one_stopped_for_3_s_again_and_again_is_never_dead_for_good_and_holds_nobody_for_dead() -> None:
+def test_a_member_stalled_for_3_s_repeatedly_recovers_and_declares_nobody_dead() -> None:
     members = settled(6)
     for _ in range(4):
         members.hold(3)
@@ -152,7 +152,7 @@
     assert all(not membership.dead_ids() for membership in members.live.values())
 
 
-def test_a_room_that_hears_but_is_not_heard_takes_itself_for_cut_off() -> None:
+def test_a_zone_whose_datagrams_get_lost_on_the_way_out_considers_itself_isolated() -> None:
     members = settled(6)
     members.blocked = lambda sender, to: sender in (4, 5) and to not in (4, 5)
     members.run(ISOLATION_TIMEOUT_SECONDS + 8.0)
@@ -162,26 +162,26 @@
         for member_id in range(4)
     )
     assert not any(snapshots[member_id].has_quorum for member_id in (4, 5))
-    whole(members)
+    heal(members)
     assert members.until(members.agree, 5.0) < 5.0
     assert all(membership.take_snapshot().has_quorum for membership in members.live.values())
 
 
-def test_one_that_nobody_answers_takes_itself_for_cut_off_before_it_is_held_for_dead() -> None:
+def test_a_member_that_nobody_answers_considers_itself_isolated_before_others_hold_it_for_dead() -> None:
     members = settled(6)
-    mute = members.live[5]
+    isolated = members.live[5]
     members.blocked = lambda sender, to: sender == 5
     assert (
-        members.until(lambda: mute.isolated, ISOLATION_TIMEOUT_SECONDS + 5.0)
+        members.until(lambda: isolated.isolated, ISOLATION_TIMEOUT_SECONDS + 5.0)
         < ISOLATION_TIMEOUT_SECONDS + 5.0
     )
-    assert not mute.reachability.not_receiving
-    assert not mute.take_snapshot().has_quorum
-    whole(members)
-    assert members.until(lambda: mute.take_snapshot().has_quorum, 5.0) < 5.0
+    assert not isolated.reachability.not_receiving
+    assert not isolated.take_snapshot().has_quorum
+    heal(members)
+    assert members.until(lambda: isolated.take_snapshot().has_quorum, 5.0) < 5.0
 
 
-def test_a_suspicion_has_all_its_time_though_the_member_stood_still() -> None:
+def test_a_stall_of_the_process_does_not_shorten_a_suspicion() -> None:
     members = settled(4)
     members.kill(3)
     one = members.live[0]
@@ -191,12 +191,12 @@
     assert one.detector.deadlines[3] > deadline + 3.0 - 2 * TICK_SECONDS
 
 
-def test_nobody_is_dead_for_whoever_had_no_room_to_ask() -> None:
-    """A suspicion that was only heard of, while there is no room for another datagram from here."""
+def test_a_gossiped_suspicion_is_not_confirmed_before_a_probe_could_be_sent() -> None:
+    """The send limit is used up when a suspicion learned by gossip reaches its deadline."""
     membership = Membership(MemberSettings(0, 3, 1, updates_per_datagram(False)), 0.0, random.Random(1))
     address = ("127.0.0.1", 1)
-    there, suspected = Update(2, 5, 0, State.ALIVE), Update(2, 5, 0, State.SUSPECTED)
-    for serial, update in enumerate((there, suspected)):
+    alive, suspected = Update(2, 5, 0, State.ALIVE), Update(2, 5, 0, State.SUSPECTED)
+    for serial, update in enumerate((alive, suspected)):
         membership.receive(0.1, Message(Kind.GOSSIP, 1, 7, 0, serial, 0, 1, 0xFFFF, (update,)), address)
     membership.outbox.send_limit.burst = membership.outbox.send_limit.tokens = 0.0
     now = 0.1
@@ -216,7 +216,8 @@
     assert membership.table.updates[2].state.name == "DEAD"
 
 
-def test_who_leaves_is_not_missed_and_three_of_twelve_are_a_fleet_of_three() -> None:
+def test_members_that_leave_do_not_count_for_the_quorum() -> None:
+    """Three of twelve members remain, and are a fleet of three."""
     members = Members(12, 5, start=False)
     for member_id in range(3):
         members.start(member_id)
@@ -231,7 +232,7 @@
     assert all(membership.has_quorum() and not membership.dead_ids() for membership in members.live.values())
 
 
-def test_the_last_one_to_leave_holds_nobody_for_the_majority() -> None:
+def test_the_last_member_that_leaves_reports_no_quorum() -> None:
     members = settled(3)
     last = members.live[0]
     for member_id in (1, 2, 0):
@@ -241,7 +242,7 @@
     assert not last.take_snapshot().has_quorum
 
 
-def test_two_with_one_number_are_told_and_one_gives_the_place_up() -> None:
+def test_two_processes_with_one_member_id_are_logged_and_one_yields() -> None:
     members = settled(4)
     first = members.live[2]
     later = MemberSettings(2, 4, first.table.own.boot_time_ms + 5000, 20)
@@ -252,7 +253,7 @@
             for other in (0, 1, 3):
                 boot_time_ms = members.live[other].table.own.boot_time_ms
                 about = members.live[other].table.updates[2]
-                said = Message(
+                message = Message(
                     Kind.PING,
                     other,
                     boot_time_ms,
@@ -263,7 +264,7 @@
                     0xFFFF,
                     (about,),
                 )
-                one.receive(members.now, said, ("127.0.0.1", 1))
+                one.receive(members.now, message, ("127.0.0.1", 1))
             members.run(0.5)
     assert [one.own.yielded for one in (first, second)].count(True) == 1
     for one in (first, second):
@@ -284,10 +285,11 @@
             for member_id, membership in members.live.items()
         }
         members.run(10.0)
-        for way in (0, 1):
+        for counter in (0, 1):
             rates = [
-                ((v.outbox.sent, v.counts.taken)[way] - before[p][way]) / 10.0
-                for p, v in members.live.items()
+                ((membership.outbox.sent, membership.counts.taken)[counter] - before[member_id][counter])
+                / 10.0
+                for member_id, membership in members.live.items()
             ]
             assert sum(rates) / size <= 8.0
         members.kill(*range(size // 2))
@@ -296,7 +298,7 @@
             assert max(sum(at <= one < at + 1.0 for one in times) for at in times) <= 25
 
 
-def test_cold_next_hops_are_divided_among_all_places_until_membership_has_settled() -> None:
+def test_cold_next_hops_are_divided_among_all_member_ids_until_membership_has_settled() -> None:
     members = Members(5, 1, start=False)
     for member_id in range(3):
         members.start(member_id)
@@ -313,7 +315,7 @@
     assert 3 not in members.live[0].take_snapshot().slow_start_members
 
 
-def test_log_lines_keep_the_names_that_operators_read() -> None:
+def test_log_lines_keep_the_state_names_that_operators_read() -> None:
     names = [state.log_name for state in State]
     assert names == ["present", "suspected", "gone", "buried", "left"]
 
@@ -331,7 +333,7 @@
 
 
 @given(st.lists(UPDATES, max_size=13), st.booleans())
-def test_a_datagram_keeps_its_updates_and_a_garbled_or_foreign_one_is_none(
+def test_a_datagram_keeps_its_updates_and_a_corrupted_or_foreign_one_is_rejected(
     updates: list[Update], with_addresses: bool
 ) -> None:
     updates = [update if with_addresses else replace(update, address=None) for update in updates]
@@ -354,17 +356,23 @@
 )
 def test_updates_in_any_order_leave_the_same_table(updates: list[Update], rng: random.Random) -> None:
     tables = []
-    for turn in range(2):
-        membership = Membership(MemberSettings(5, 9, 1 << 47, 20), 1.0, random.Random(turn))
-        mixed = updates * (turn + 1)
+    for attempt in range(2):
+        membership = Membership(MemberSettings(5, 9, 1 << 47, 20), 1.0, random.Random(attempt))
+        mixed = updates * (attempt + 1)
         rng.shuffle(mixed)
         for update in mixed:
-            held = membership.table.updates.get(update.member_id)
+            stored = membership.table.updates.get(update.member_id)
             membership.merge(update, "test")
-            if held is not None:  # nothing held comes back by an older update
+            if stored is not None:  # an older update must not replace the stored one
                 now = membership.table.updates[update.member_id]
-                assert (now.version, now.state) >= (held.version, held.state)
-        tables.append({p: (w.version, w.state) for p, w in membership.table.updates.items() if p != 5})
+                assert (now.version, now.state) >= (stored.version, stored.state)
+        tables.append(
+            {
+                member_id: (update.version, update.state)
+                for member_id, update in membership.table.updates.items()
+                if member_id != 5
+            }
+        )
     assert tables[0] == tables[1]
 
 
@@ -378,7 +386,7 @@
 
 @how(max_examples=40, deadline=None, derandomize=True)
 @given(STEPS, st.integers(0, 1000))
-def test_whatever_happens_once_the_network_is_whole_all_live_members_agree(
+def test_all_live_members_agree_once_the_network_has_healed_whatever_happened_before(
     steps: list[tuple[str, int]], seed: int
 ) -> None:
     members = Members(7, seed, loss=0.1)
@@ -393,7 +401,7 @@
         elif what == "cut":
             cut(members, set(range(member_id + 1)), set(range(member_id + 1, 7)))
         elif what == "heal":
-            whole(members)
+            heal(members)
         elif what == "hold" and member_id in members.live:
             members.hold(member_id)
             members.run(2.0)
@@ -404,7 +412,7 @@
                 odd = Message(Kind.PING, member_id, 5, 5, 0, 0, 200, 9, (Update(99, 1, 1, State.DEAD),))
                 membership.receive(members.now, odd, ("127.0.0.1", 9))
         members.run(1.0)
-    whole(members)
+    heal(members)
     assert members.until(members.agree, 20.0) < 20.0
     members.run(3.0)
     assert members.agree()
