--- a/standflow/recovery/__init__.py
+++ b/standflow/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""What of an ingress outlives a power loss, and how it is trusted. See docs/design/recovery.md."""
+"""The state that an ingress restores after a power loss. See docs/design/recovery.md."""
--- a/standflow/recovery/records.py
+++ b/standflow/recovery/records.py
@@ -1,6 +1,6 @@
-"""Records and their form in a file: a line each, behind a checksum of its own. No I/O.
+"""Records and their file format: one line each, with its own checksum. No I/O.
 
-The checksum is begun with the identity of the ingress: a line copied from another store is as good as torn.
+The checksum is seeded with the identity of the ingress, so a line of another ingress's store is rejected.
 """
 
 from __future__ import annotations
@@ -11,60 +11,61 @@
 from typing import Any
 
 FORMAT = 1
-HEAD = "head"
-LONGEST = 64 * 1024  # bytes of a line
+HEADER = "head"
+MAX_LINE_BYTES = 64 * 1024
 
 
 @dataclass(slots=True, frozen=True)
 class Record:
-    """One thing kept. A value of None says that there is nothing more under this kind and name."""
+    """One stored value. None deletes what is stored under this kind and name."""
 
     kind: str
     name: str
-    value: Any  # as JSON has it
-    boot_id: str  # of the machine, when it was written
-    uptime: float  # seconds of that boot's clock
+    value: Any  # JSON
+    boot_id: str  # of the machine at the time of writing
+    uptime: float  # seconds since that boot
 
     @property
     def key(self) -> tuple[str, str]:
-        """What a later record of the same takes the place of."""
+        """A later record with the same key replaces this one."""
         return self.kind, self.name
 
 
 @dataclass(slots=True, frozen=True)
 class Contents:
-    """What a file says: the latest record of each key, and what else was found."""
+    """The contents of a file: the latest record of each key, and what could not be used."""
 
     records: dict[tuple[str, str], Record]
-    corrupt_lines: int  # lines that are torn, flipped or another's
-    foreign_identity: str  # the identity in the head, where it is not ours
+    corrupt_lines: int  # truncated, damaged or from another store
+    foreign_identity: str  # the identity in the header if it is not the expected one, else empty
 
 
 def identity(name: str, number: int, fleet: str) -> str:
-    """Whose a store is; what may change by an operator's hand is no part of it."""
+    """The identity of a store's owner; contains no settings that an operator may change."""
     return f"standflow {FORMAT} {name} {number} {fleet}"
 
 
-def encode(record: Record, whose: str) -> bytes:
-    """The line of a record; ValueError where it is too long."""
+def encode(record: Record, owner: str) -> bytes:
+    """Encodes a record as a line; ValueError if it is too long."""
     row = [record.kind, record.name, record.value, record.boot_id, round(record.uptime, 3)]
     body = json.dumps(row, separators=(",", ":"), allow_nan=False).encode()
-    if len(body) > LONGEST:
+    if len(body) > MAX_LINE_BYTES:
         raise ValueError(f"{record.kind} {record.name} is too long")
-    return b"%08x %b\n" % (zlib.crc32(body, zlib.crc32(whose.encode())), body)
+    return b"%08x %b\n" % (zlib.crc32(body, zlib.crc32(owner.encode())), body)
 
 
-def header_line(whose: str) -> bytes:
-    """The first line: for whoever reads it, and for the log where it is another's."""
-    return f"{HEAD} {whose}\n".encode()
+def header_line(owner: str) -> bytes:
+    """The first line of the file: names the owner, for human readers and for detecting a foreign store."""
+    return f"{HEADER} {owner}\n".encode()
 
 
-def decode(line: bytes, whose: str) -> Record | None:
-    """The record of a line without its end; None where it is spoilt."""
+def decode(line: bytes, owner: str) -> Record | None:
+    """Decodes a line without its newline; None if it is corrupt."""
     body = line[9:]
     try:
-        # as bytes: in capitals the same number would stand there, and a flipped bit be passed over
-        if line[:9] != b"%08x " % zlib.crc32(body, zlib.crc32(whose.encode())):
+        # Compared as bytes: parsed as a number, a checksum with upper-case digits would match too, and the
+        # bit flip that made them would go unnoticed.
+        if line[:9] != b"%08x " % zlib.crc32(body, zlib.crc32(owner.encode())):
             return None
         kind, name, value, boot_id, uptime = json.loads(body)
     except (ValueError, RecursionError):
@@ -72,17 +73,17 @@
     return Record(kind, name, value, boot_id, float(uptime))
 
 
-def read(data: bytes, whose: str) -> Contents:
-    """All that a file says. The last line counts only with its end: it may be cut."""
+def read(data: bytes, owner: str) -> Contents:
+    """Reads a whole file. A last line without a newline counts as corrupt, as it may be truncated."""
     records: dict[tuple[str, str], Record] = {}
     corrupt_lines, foreign_identity = 0, ""
     lines = data.split(b"\n")
     for line in lines[:-1]:
-        if line.startswith(HEAD.encode()):
-            said = line[len(HEAD) + 1 :].decode(errors="replace")
-            foreign_identity = said if said != whose else foreign_identity
+        if line.startswith(HEADER.encode()):
+            stored_identity = line[len(HEADER) + 1 :].decode(errors="replace")
+            foreign_identity = stored_identity if stored_identity != owner else foreign_identity
             continue
-        record = decode(line, whose)
+        record = decode(line, owner)
         if record is None:
             corrupt_lines += 1
         else:
--- a/standflow/recovery/trust.py
+++ b/standflow/recovery/trust.py
@@ -1,6 +1,6 @@
-"""What of a store is trusted, and as what. Decisions without I/O; times are seconds.
+"""Which stored records are trusted after a restart, and how far. No I/O; times are seconds.
 
-The wall clock decides nothing: it may have been put back or forward. See docs/design/recovery.md.
+The wall clock is not used, as it may have been stepped. See docs/design/recovery.md.
 """
 
 from __future__ import annotations
@@ -11,7 +11,8 @@
 
 from standflow.recovery.records import Record
 
-LEARNED_MAX_AGE_SECONDS = 30.0  # seconds for which what was learnt of next hops is worth something
+LEARNED_MAX_AGE_SECONDS = 30.0  # of measurements of next hops; older ones say little about their state
+# Kinds of records, as stored.
 OPERATOR_OVERRIDE, EVACUATION, NEXT_HOP, USAGE, LEARNED, HEARTBEAT = (
     "word",
     "emptied",
@@ -25,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class BootClock:
-    """A boot of the machine, and the seconds since it began: a clock that nobody puts back."""
+    """The machine's boot and the seconds since it, a clock that is never set back."""
 
     boot_id: str
     uptime: float
@@ -33,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """A plan's window: units, and units a second."""
+    """A plan's quota: burst in units, rate in units per second."""
 
     burst: float
     rate: float
@@ -41,7 +42,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Window:
-    """A tenant's window as it is taken to be now."""
+    """The assumed state of a tenant's quota window; `own` and `others` are used units."""
 
     key: str
     plan: str
@@ -53,7 +54,7 @@
 
 @dataclass(slots=True)
 class TrustedState:
-    """What an ingress starts from. `open_in`: seconds until the last window taken for full has drained."""
+    """The state that an ingress starts from. `drained_in`: seconds until all assumed windows have drained."""
 
     operator_overrides: dict[str, list[Any]] = field(default_factory=dict)
     evacuation: tuple[bool, float] | None = None
@@ -61,67 +62,67 @@
     members: dict[str, list[Any]] = field(default_factory=dict)
     windows: list[Window] = field(default_factory=list)
     learned: dict[str, Any] | None = None
-    drained: int = 0  # windows that are open again by now
-    skipped: int = 0
+    drained: int = 0  # windows that have drained by now
+    skipped: int = 0  # records that can't be interpreted
     drained_in: float = 0.0
 
 
-def since(record: Record, clock: BootClock) -> tuple[float, bool]:
-    """Seconds that have surely passed since a record was written, and whether it is no more than that."""
+def elapsed_since(record: Record, clock: BootClock) -> tuple[float, bool]:
+    """Seconds that have passed at least since a record was written, and whether that is the exact time."""
     if record.boot_id != clock.boot_id:
-        return clock.uptime, False  # it was before this boot began
+        return clock.uptime, False  # written before this boot
     passed = clock.uptime - record.uptime
     return (passed, True) if passed >= 0 else (0.0, False)
 
 
 def select_trusted(records: Iterable[Record], clock: BootClock, plans: dict[str, Plan]) -> TrustedState:
-    """Sorts what was kept into what holds, what is a hint and what is nothing any more."""
-    found, known = TrustedState(), list(records)
-    wrote = [one for one in known if one.kind in (USAGE, HEARTBEAT)]
-    newest = min(wrote, key=lambda one: (since(one, clock)[0], -one.uptime), default=None)
-    for record in known:
+    """Selects the records that are still valid, and converts stored usage to assumed windows."""
+    state, candidates = TrustedState(), list(records)
+    writes = [one for one in candidates if one.kind in (USAGE, HEARTBEAT)]
+    newest = min(writes, key=lambda one: (elapsed_since(one, clock)[0], -one.uptime), default=None)
+    for record in candidates:
         try:
-            _take(found, record, clock, plans, newest or record)
+            _add_record(state, record, clock, plans, newest or record)
         except (TypeError, ValueError, KeyError, IndexError):
-            found.skipped += 1  # it is whole, but of a version that says it otherwise
-    return found
+            state.skipped += 1  # undamaged, but in the format of another version
+    return state
 
 
-def _take(
-    found: TrustedState, record: Record, clock: BootClock, plans: dict[str, Plan], newest: Record
+def _add_record(
+    state: TrustedState, record: Record, clock: BootClock, plans: dict[str, Plan], newest: Record
 ) -> None:
     value = record.value
     if record.kind == OPERATOR_OVERRIDE:
-        out, at, went = value
-        found.operator_overrides[record.name] = [bool(out), float(at), float(went)]
+        excluded, changed_at, excluded_at = value
+        state.operator_overrides[record.name] = [bool(excluded), float(changed_at), float(excluded_at)]
     elif record.kind == EVACUATION:
-        found.evacuation = (bool(value[0]), float(value[1]))
+        state.evacuation = (bool(value[0]), float(value[1]))
     elif record.kind == NEXT_HOP:
-        found.next_hops.append(value)
+        state.next_hops.append(value)
     elif record.kind == MEMBER:
-        life, host, port = value
-        found.members[str(int(record.name))] = [int(life), str(host), int(port)]
+        boot_time_ms, host, port = value
+        state.members[str(int(record.name))] = [int(boot_time_ms), str(host), int(port)]
     elif record.kind == LEARNED:
-        passed, exact = since(record, clock)
+        passed, exact = elapsed_since(record, clock)
         if exact and passed <= LEARNED_MAX_AGE_SECONDS:
-            found.learned = dict(value)
+            state.learned = dict(value)
     elif record.kind == USAGE:
-        window, drained_in = full(record, clock, plans, newest)
+        window, drained_in = assume_full(record, clock, plans, newest)
         if window is None:
-            found.drained += 1
+            state.drained += 1
         else:
-            found.windows.append(window)
-            found.drained_in = max(found.drained_in, drained_in)
+            state.windows.append(window)
+            state.drained_in = max(state.drained_in, drained_in)
 
 
-def full(
+def assume_full(
     record: Record, clock: BootClock, plans: dict[str, Plan], newest: Record
 ) -> tuple[Window | None, float]:
-    """A tenant's window, taken for full when the store was written last, which `newest` tells: all that was
-    left of it may have gone after that. With it the seconds until it has drained.
+    """A tenant's window, assumed full at the last write, and the seconds until it has drained.
 
-    None where it has drained by now, or its plan is no more. One that was not used for a whole window before
-    the last write is taken for as empty as it was.
+    All the quota left at the last write (`newest`) may have been used after it. None if the window has
+    drained by now or its plan no longer exists. A window that was idle for its whole length before the last
+    write is assumed to have stayed empty.
     """
     name, first, size, own, others = value = record.value
     plan = plans.get(name)
@@ -130,7 +131,7 @@
     idle = newest.uptime - record.uptime if newest.boot_id == record.boot_id else 0.0
     if idle * plan.rate > plan.burst:
         return None, 0.0
-    passed, last = since(record, clock)[0], since(newest, clock)[0]
+    passed, last = elapsed_since(record, clock)[0], elapsed_since(newest, clock)[0]
     left = plan.burst - plan.rate * last
     if left <= 0:
         return None, 0.0
--- a/standflow/recovery/writer.py
+++ b/standflow/recovery/writer.py
@@ -1,4 +1,4 @@
-"""Keeps what must last: hands what changed to the store now and then, and what holds to a start."""
+"""Writes the state that must survive a power loss to the store, and loads it at the start."""
 
 from __future__ import annotations
 
@@ -26,173 +26,180 @@
     select_trusted,
 )
 
-BOOT = Path("/proc/sys/kernel/random/boot_id")
-SLOWLY = 2.0  # seconds between writes of what is a hint, and of the route set
-LOCKING = 0.5  # seconds between tries where another process of this ingress holds the store
+BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
+SLOW_WRITE_SECONDS = 2.0  # between writes of measurements, next hops and members
+LOCK_RETRY_SECONDS = 0.5  # while another process of this ingress holds the lock
 
 
 @dataclass(slots=True)
 class WriterCallbacks:
-    """What the store asks of the ingress."""
+    """The ingress functions that the writer calls."""
 
-    used_windows: Callable[[float], list[list[Any]]]  # windows used since then, of the loop's clock
+    used_windows: Callable[[float], list[list[Any]]]  # windows used since a time on the loop's clock
     refill_windows: Callable[[list[Window]], None]
     learned: Callable[[], dict[str, Any]]
     restore_learned: Callable[[dict[str, Any]], None]
     routes: Callable[[], list[dict[str, Any]]]
-    operator_overrides: Callable[
-        [], dict[str, list[Any]] | None
-    ]  # by next hop; None where operators have no calls
+    # by next hop; None if the operators' API is off
+    operator_overrides: Callable[[], dict[str, list[Any]] | None]
     evacuation: Callable[[], tuple[bool, float]]
-    members: Callable[
-        [], dict[str, list[Any]] | None
-    ]  # the view's, by place; None where none is kept or told
+    # by member id; None without a fleet or while the membership is not known
+    members: Callable[[], dict[str, list[Any]] | None]
 
 
 @dataclass(slots=True, frozen=True)
 class StoreMetrics:
-    """What operators are shown."""
+    """The metrics `recovery.*` that operators fetch."""
 
-    stage: str  # waiting for the store, holding windows that may have been spent, or normal
+    stage: str  # waiting (for the store), holding (windows are assumed full) or normal
     trusted: int
-    assumed: int  # windows taken for full
-    spoilt: int
+    assumed: int  # windows assumed full
+    spoilt: int  # corrupt lines
     written: int  # bytes
     syncs: int
 
 
-def clock() -> BootClock:
-    """Of this machine; where it does not name its boot each start counts as one."""
+def read_boot_clock() -> BootClock:
+    """Reads this machine's boot id and uptime; without a boot id each process start counts as a boot."""
     try:
-        boot_id = BOOT.read_text().replace("-", "")[:12]
+        boot_id = BOOT_ID_PATH.read_text().replace("-", "")[:12]
     except OSError:
         boot_id = f"start-{time.time_ns()}"
     return BootClock(boot_id, time.clock_gettime(time.CLOCK_BOOTTIME))
 
 
 class StateStoreWriter:
-    """One process's end of the store."""
+    """Loads, writes and closes the store of one process."""
 
     def __init__(
-        self, loop: Loop, log: Callable[[str], None], store: Store, every: float, callbacks: WriterCallbacks
+        self,
+        loop: Loop,
+        log: Callable[[str], None],
+        store: Store,
+        interval: float,
+        callbacks: WriterCallbacks,
     ) -> None:
-        """`every`: seconds between writes."""
-        self.loop, self.log, self.store, self.every, self.callbacks = loop, log, store, every, callbacks
-        self.boot_id = clock().boot_id
-        self.kept: dict[tuple[str, str], Any] = {}  # as the store has it, but for use
+        """`interval`: seconds between writes."""
+        self.loop, self.log, self.store, self.interval, self.callbacks = loop, log, store, interval, callbacks
+        self.boot_id = read_boot_clock().boot_id
+        self.stored: dict[tuple[str, str], Any] = {}  # the store's current values, without usage
         self.stage = "waiting"
         self.trusted = self.assumed = self.spoilt = 0
-        self.looked = -1e9  # of the loop's clock: use before that is written
-        self.slowly = 0.0
+        self.last_write = -1e9  # on the loop's clock; usage before it is stored
+        self.next_slow_write = 0.0
         self.closed = False
 
     def load(self, plans: dict[str, Plan]) -> TrustedState:
-        """What this ingress starts from. Where another process of it lives, that one knows better."""
-        alone = self.store.lock()
+        """Loads the state that this ingress starts from.
+
+        While another process of the ingress holds the lock, usage and measurements are left out: that process
+        has newer ones.
+        """
+        is_owner = self.store.lock()
         contents = self.store.load()
-        found = select_trusted(contents.records.values(), clock(), plans)
+        state = select_trusted(contents.records.values(), read_boot_clock(), plans)
         self.spoilt = contents.corrupt_lines
         if contents.foreign_identity:
             self.log(f"store: this is the store of {contents.foreign_identity!r}: not used")
-        if not alone:
-            found.windows, found.learned, found.drained_in = [], None, 0.0
+        if not is_owner:
+            state.windows, state.learned, state.drained_in = [], None, 0.0
         for (kind, name), record in contents.records.items():
-            if alone and kind not in (USAGE, HEARTBEAT):
-                self.kept[kind, name] = record.value
-        self.assumed = len(found.windows)
-        self.trusted = len(found.operator_overrides) + len(found.next_hops) + (found.evacuation is not None)
+            if is_owner and kind not in (USAGE, HEARTBEAT):
+                self.stored[kind, name] = record.value
+        self.assumed = len(state.windows)
+        self.trusted = len(state.operator_overrides) + len(state.next_hops) + (state.evacuation is not None)
         if contents.records or contents.corrupt_lines:
             self.log(
-                f"store: {len(found.operator_overrides)} operator overrides, "
-                f"{len(found.next_hops)} next hops, {len(found.windows)} windows assumed full "
-                f"and {found.drained} drained, {contents.corrupt_lines} corrupt lines, "
-                f"{found.skipped} records skipped"
+                f"store: {len(state.operator_overrides)} operator overrides, "
+                f"{len(state.next_hops)} next hops, {len(state.windows)} windows assumed full "
+                f"and {state.drained} drained, {contents.corrupt_lines} corrupt lines, "
+                f"{state.skipped} records skipped"
             )
-        return found
+        return state
 
-    def start(self, found: TrustedState) -> None:
-        """From now on what changes is kept."""
-        self._stage("holding" if found.windows else "normal")
-        if found.windows:
-            self.loop.call_later(found.drained_in, self._stage, "normal")
-        self._look()
-        self.loop.every(self._pace, self._look)
+    def start(self, state: TrustedState) -> None:
+        """Starts periodic writes."""
+        self._set_stage("holding" if state.windows else "normal")
+        if state.windows:
+            self.loop.call_later(state.drained_in, self._set_stage, "normal")
+        self._write_if_locked()
+        self.loop.every(self._write_interval, self._write_if_locked)
 
     def metrics(self) -> StoreMetrics:
-        """Of now."""
+        """The current metrics."""
         store = self.store
         return StoreMetrics(self.stage, self.trusted, self.assumed, self.spoilt, store.written, store.syncs)
 
     def write_operator_records(self) -> None:
-        """What operators said is written at once."""
+        """Writes operator overrides and evacuation at once."""
         if not self.closed and self.store.lock_fd >= 0:
-            self.store.put(self._said(clock().uptime))
+            self.store.put(self._operator_records(read_boot_clock().uptime))
 
     def close(self) -> None:
-        """The last write."""
+        """Writes a last time and closes the store."""
         if not self.closed:
             self._write()
             self.closed = True
             self.store.close()
-            self._tell()
+            self._flush_log()
 
-    def _stage(self, name: str) -> None:
+    def _set_stage(self, name: str) -> None:
         if name != self.stage:
             self.log(f"store: stage {self.stage} -> {name}")
             self.stage = name
 
-    def _look(self) -> None:
+    def _write_if_locked(self) -> None:
         if self.closed:
             return
         if self.store.lock():
             self._write()
-        self._tell()
+        self._flush_log()
 
-    def _pace(self) -> float:
-        """Seconds to the next look."""
-        return self.every if self.store.lock_fd >= 0 else LOCKING
+    def _write_interval(self) -> float:
+        """Seconds until the next write, or until the next attempt to take the lock."""
+        return self.interval if self.store.lock_fd >= 0 else LOCK_RETRY_SECONDS
 
-    def _tell(self) -> None:
+    def _flush_log(self) -> None:
         while self.store.log_lines:
             self.log(self.store.log_lines.popleft())
 
     def _write(self) -> None:
         if self.store.lock_fd < 0:
             return
-        now, uptime = self.loop.now(), clock().uptime
+        now, uptime = self.loop.now(), read_boot_clock().uptime
         records = [
             Record(USAGE, row[0], row[1:], self.boot_id, uptime)
-            for row in self.callbacks.used_windows(self.looked)
+            for row in self.callbacks.used_windows(self.last_write)
         ] or [Record(HEARTBEAT, "", 1, self.boot_id, uptime)]
-        self.looked = now
-        records += self._said(uptime)
-        if now >= self.slowly:
-            self.slowly = now + SLOWLY
+        self.last_write = now
+        records += self._operator_records(uptime)
+        if now >= self.next_slow_write:
+            self.next_slow_write = now + SLOW_WRITE_SECONDS
             records.append(Record(LEARNED, "", self.callbacks.learned(), self.boot_id, uptime))
             next_hops = {str(route["id"]): route for route in self.callbacks.routes()}
-            records += self._changed(NEXT_HOP, next_hops, uptime)
+            records += self._changed_records(NEXT_HOP, next_hops, uptime)
             if (members := self.callbacks.members()) is not None:
-                records += self._changed(MEMBER, members, uptime)
+                records += self._changed_records(MEMBER, members, uptime)
         self.store.put(records)
 
-    def _said(self, uptime: float) -> list[Record]:
+    def _operator_records(self, uptime: float) -> list[Record]:
         evacuation = list(self.callbacks.evacuation())
-        said = self._changed(EVACUATION, {"": evacuation} if evacuation[1] else {}, uptime)
+        records = self._changed_records(EVACUATION, {"": evacuation} if evacuation[1] else {}, uptime)
         operator_overrides = self.callbacks.operator_overrides()
         return (
-            said
+            records
             if operator_overrides is None
-            else said + self._changed(OPERATOR_OVERRIDE, operator_overrides, uptime)
+            else records + self._changed_records(OPERATOR_OVERRIDE, operator_overrides, uptime)
         )
 
-    def _changed(self, kind: str, values: dict[str, Any], uptime: float) -> list[Record]:
-        """Those of a kind that differ from what is kept, and those that are no more."""
-        gone = [name for of, name in self.kept if of == kind and name not in values]
-        records = [Record(kind, name, None, self.boot_id, uptime) for name in gone]
-        for name in gone:
-            del self.kept[kind, name]
+    def _changed_records(self, kind: str, values: dict[str, Any], uptime: float) -> list[Record]:
+        """Records for the values of a kind that changed or were removed since they were last stored."""
+        removed = [name for of, name in self.stored if of == kind and name not in values]
+        records = [Record(kind, name, None, self.boot_id, uptime) for name in removed]
+        for name in removed:
+            del self.stored[kind, name]
         for name, value in values.items():
-            if self.kept.get((kind, name)) != value:
-                self.kept[kind, name] = value
+            if self.stored.get((kind, name)) != value:
+                self.stored[kind, name] = value
                 records.append(Record(kind, name, value, self.boot_id, uptime))
         return records
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -171,7 +171,7 @@
     store.put([Record(OPERATOR_OVERRIDE, "s-1", [True, 1.0, 1.0], "b", 1.0)])
     for round_ in range(40):
         store.put([Record(USAGE, f"{round_}-{n}", ["x" * 500], "b", 1.0) for n in range(50)])
-        until(lambda: not store._next)
+        until(lambda: not store._pending)
     store.close()
     assert (tmp_path / RECORDS_FILE).stat().st_size < 100_000 + 256 * 1024 + 50_000
     left = kept(tmp_path)
@@ -194,7 +194,7 @@
     for n in range(1000):
         store.put([Record(USAGE, str(n % 10), [n], "b", 1.0)])
     assert time.monotonic() - began < 1.0  # the sync of the first lasts on
-    assert len(store._next) <= 10
+    assert len(store._pending) <= 10
     full.set()
     held.set()
     until(lambda: bool(store.log_lines))
