--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -1,4 +1,4 @@
-"""A loss of power under real ingresses: all end at once and come back in any order, with a disk each."""
+"""A power loss of real ingresses: all are killed at once and restart in any order, each with its own disk."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 SIZE = 6
 
 
-class Pressed(Site):
-    """Tenants that send far beyond their quota, and some within."""
+class OverloadedSite(Site):
+    """Some tenants send far beyond their quota, some stay within it."""
 
     def tenants(self) -> dict[str, float]:
         return {f"heavy{n}": 4.0 for n in range(2)} | {f"calm{n}": 0.3 for n in range(6)}
@@ -38,9 +38,9 @@
     return subprocess.run(args, capture_output=True, text=True, check=True).stdout
 
 
-def figure(ingress: Ingress, name: str) -> str:
-    shown = dict(line.split("=", 1) for line in call(ingress, "GET", "/api/telemetry").splitlines())
-    return shown[name]
+def metric(ingress: Ingress, name: str) -> str:
+    metrics = dict(line.split("=", 1) for line in call(ingress, "GET", "/api/telemetry").splitlines())
+    return metrics[name]
 
 
 def until(met: object, limit: float = LIMIT) -> None:
@@ -52,7 +52,7 @@
 
 
 def loss(at: float, seed: int) -> str:
-    """All killed at one moment, and half a second later back in two halves drawn from a seed."""
+    """A schedule: all are killed at once, and restart half a second later in two halves drawn from a seed."""
     order = list(range(SIZE))
     random.Random(seed).shuffle(order)
     first, then = (" ".join(map(str, order[n::2])) for n in range(2))
@@ -60,11 +60,11 @@
 
 
 def normal(site: Site) -> bool:
-    return all(figure(one, "recovery.stage") == "normal" for one in site.live.values())
+    return all(metric(one, "recovery.stage") == "normal" for one in site.live.values())
 
 
 def losses(site: Site, text: str) -> pl.DataFrame:
-    """The record of a site whose ingresses all end together, once or more."""
+    """Plays a schedule of power losses and returns the record of the site."""
     assert site.until_agreed(LIMIT) < LIMIT
     site.run(schedule.read(text, SIZE), 13.0)
     assert site.until_agreed(LIMIT) < LIMIT
@@ -72,20 +72,21 @@
 
 
 def test_losses_of_all_spend_no_quota_twice(seed: int) -> None:
-    # That a quota is spent twice without the store is shown in simulated time, by tests/test_fleet_quotas.py.
-    with Pressed(SIZE, store=True, seed=seed) as site:
+    # tests/test_fleet_quotas.py shows in simulated time that a quota is spent twice without the store.
+    with OverloadedSite(SIZE, store=True, seed=seed) as site:
         table = losses(site, loss(3, 1) + "\n" + loss(6, 2))
         assert faults(table) == []
         until(lambda: normal(site))
-        assert any(int(figure(one, "recovery.assumed")) > 0 for one in site.live.values())
+        assert any(int(metric(one, "recovery.assumed")) > 0 for one in site.live.values())
     assert table.filter(pl.col("end") == "served").height > 50
     assert quotas(table).use <= 1.10
 
 
 def test_a_loss_of_all_spends_no_quota_twice_however_long_the_return_takes(seed: int) -> None:
-    # A burst that drains within the time that a busy machine takes to start a fleet may be spent again.
+    # The window takes 24 s to drain: a burst that drains while a busy machine starts the fleet may be spent
+    # again.
     slow = Deployment(rate=0.5, burst=12.0)
-    with Pressed(SIZE, store=True, seed=seed, deployment=slow) as site:
+    with OverloadedSite(SIZE, store=True, seed=seed, deployment=slow) as site:
         losses(site, loss(3, 1))
         tries = site.tries()
     assert sum(one.ran for one in tries) > 50
@@ -94,7 +95,7 @@
 
 def test_a_second_loss_in_the_middle_of_the_return_and_one_alone_first(seed: int) -> None:
     text = "5 kill 0 1 2 3 4 5\n5.5 start 0 1 2\n6.2 kill 0 1 2\n6.6 start 4\n9 start 0 1 2 3 5"
-    with Pressed(SIZE, store=True, seed=seed) as site:
+    with OverloadedSite(SIZE, store=True, seed=seed) as site:
         assert site.until_agreed(LIMIT) < LIMIT
         site.run(schedule.read(text, SIZE), 14.0)
         assert site.until_agreed(LIMIT) < LIMIT
@@ -103,57 +104,56 @@
 
 def test_a_loss_in_the_middle_of_a_cut(seed: int) -> None:
     text = "3 cut 4 5\n6 kill 0 1 2 3 4 5\n6.5 start 0 1 2 3 4 5\n10 heal"
-    with Pressed(SIZE, store=True, seed=seed) as site:
+    with OverloadedSite(SIZE, store=True, seed=seed) as site:
         assert site.until_agreed(LIMIT) < LIMIT
         site.run(schedule.read(text, SIZE), 15.0)
         assert site.until_agreed(LIMIT) < LIMIT
         assert faults(record(site)) == []
 
 
-def _rewritten(path: Path, whose: str, hours: float, boot: str) -> None:
-    """The store as another clock would have stamped it."""
-    records = read(path.read_bytes(), whose).records.values()
+def _rewrite_store(path: Path, owner: str, hours: float, boot: str) -> None:
+    """Rewrites a store as if the wall clock had been ahead by so many hours, in another boot."""
+    records = read(path.read_bytes(), owner).records.values()
     shifted = []
     for one in records:
         value = one.value
         if one.kind in ("word", "emptied"):
             value = [value[0], value[1] + 3600 * hours, *value[2:]]
         shifted.append(Record(one.kind, one.name, value, boot, one.uptime))
-    path.write_bytes(header_line(whose) + b"".join(encode(one, whose) for one in shifted))
+    path.write_bytes(header_line(owner) + b"".join(encode(one, owner) for one in shifted))
 
 
-def test_operators_words_outlive_a_loss_whatever_the_disk_or_the_clock_says(tmp_path: Path) -> None:
+def test_operator_overrides_survive_a_power_loss_with_damaged_stores_or_wrong_clocks(tmp_path: Path) -> None:
     with Site(SIZE, store=True) as site:
         for n in range(SIZE):
             assert call(site.live[n], "POST", "/api/exclude/s-0") == "yes\n"
         assert call(site.live[5], "POST", "/api/evacuate") == "yes\n"
-        for n in range(SIZE):  # on the disk
+        for n in range(SIZE):  # wait until the records are on disk
             path = site.disk(n) / RECORDS_FILE
             until(lambda path=path: b'"word","s-0",[true' in path.read_bytes())
         until(lambda: b'"emptied","",[true' in (site.disk(5) / RECORDS_FILE).read_bytes())
         site.kill(*range(SIZE))
-        whose = [identity(f"n{n}", n, "lab") for n in range(SIZE)]
-        _rewritten(
-            site.disk(1) / RECORDS_FILE, whose[1], 1.0, "an-earlier-boot"
-        )  # its clock was an hour ahead
+        owner = [identity(f"n{n}", n, "lab") for n in range(SIZE)]
+        # its clock was an hour ahead
+        _rewrite_store(site.disk(1) / RECORDS_FILE, owner[1], 1.0, "an-earlier-boot")
         with (site.disk(2) / RECORDS_FILE).open("ab") as file:
             file.write(b'00000000 ["word","s-0",[false,9e9,0],"x",1]\nhalf a li')
-        shutil.rmtree(site.disk(3))  # empty
-        shutil.copy(site.disk(0) / RECORDS_FILE, site.disk(4) / RECORDS_FILE)  # another's
+        shutil.rmtree(site.disk(3))  # lost its disk
+        shutil.copy(site.disk(0) / RECORDS_FILE, site.disk(4) / RECORDS_FILE)  # the store of another ingress
         site.start(*range(SIZE))
-        outs = [int(figure(site.live[n], "ejected")) for n in range(SIZE)]
+        outs = [int(metric(site.live[n], "ejected")) for n in range(SIZE)]
         assert outs == [1, 1, 1, 0, 0, 1]
         with socket.create_connection(site.addresses[5], LIMIT) as caller:
             caller.sendall(b"*1\r\n$4\r\nPING\r\n")
             assert caller.recv(100) == b"-ERR evacuated\r\n"
         assert any("this is the store of" in line for line in site.live[4].log)
-        assert int(figure(site.live[2], "recovery.spoilt")) == 2
-        # a call after a clock was put back follows the word before it
+        assert int(metric(site.live[2], "recovery.spoilt")) == 2
+        # a call after the clock was set back still supersedes the earlier override
         assert call(site.live[1], "POST", "/api/include/s-0") == "yes\n"
-        assert int(figure(site.live[1], "ejected")) == 0
+        assert int(metric(site.live[1], "ejected")) == 0
 
 
-def test_a_store_that_can_not_be_written_costs_a_line_and_no_service(tmp_path: Path) -> None:
+def test_a_store_that_can_not_be_written_is_logged_and_the_ingress_serves(tmp_path: Path) -> None:
     with Site(1, store=False) as site:
         site.kill(0)
         conf = site.folder / "0.conf"
@@ -163,13 +163,13 @@
         try:
             ingress.address()
             ingress.logged("store: lock: Not a directory; the ingress goes on without")
-            assert figure(ingress, "recovery.stage") == "normal"
+            assert metric(ingress, "recovery.stage") == "normal"
         finally:
             ingress.end()
 
 
-def test_discovery_that_comes_last_is_waited_for_with_the_next_hops_of_the_store(seed: int) -> None:
-    # What is served counts from the moment all have started, however long that takes.
+def test_until_discovery_answers_the_next_hops_of_the_store_serve(seed: int) -> None:
+    # Requests count from the moment at which all ingresses have started, however long that takes.
     everybody = " ".join(map(str, range(SIZE)))
     served = {}
     for store in (True, False):
@@ -186,17 +186,17 @@
             assert site.until_agreed(LIMIT) < LIMIT
             table = record(site)
             assert faults(table) == []
-            told = [
+            log_lines = [
                 line for _, at, one in site.lives if at > begun for line in one.log if "next hops" in line
             ]
         ends = table.filter((pl.col("what") == "asked") & (pl.col("end") == "served"))
         served[store] = ends.filter(pl.col("t").is_between(started, healed)).height
-        assert all("3 next hops" in line for line in told)
-        assert len(told) == SIZE * store
+        assert all("3 next hops" in line for line in log_lines)
+        assert len(log_lines) == SIZE * store
     assert served[True] > 20 > 0 == served[False]
 
 
-def test_a_full_disk_under_an_ingress_costs_a_line_until_there_is_room(tmp_path: Path) -> None:
+def test_a_full_disk_is_logged_and_writes_resume_when_there_is_space(tmp_path: Path) -> None:
     with Site(1, store=True) as site:
         ingress, path = site.live[0], site.disk(0) / RECORDS_FILE
         until(path.exists)
@@ -214,4 +214,4 @@
         until(lambda: b'"word","s-0",[true' in path.read_bytes())
         site.kill(0)
         site.start(0)
-        assert figure(site.live[0], "ejected") == "1"
+        assert metric(site.live[0], "ejected") == "1"
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""What an ingress keeps: damage at any byte, faults of the disk, wrong clocks, and windows."""
+"""The state store: damage at any byte, disk errors, wrong clocks, and the assumed use of quota windows."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 @given(RECORDS, st.data())
-def test_a_cut_or_a_flipped_bit_leaves_each_record_whole_or_absent(
+def test_truncation_or_a_flipped_bit_leaves_each_record_intact_or_absent(
     records: list[Record], data: st.DataObject
 ) -> None:
     lines = [encode(record, OURS) for record in records]
@@ -89,8 +89,8 @@
         assert found.corrupt_lines >= 1
 
 
-def test_a_checksum_in_capitals_is_spoilt() -> None:
-    """One bit away from what was written: the property above met it once in some hundred runs."""
+def test_a_checksum_with_upper_case_digits_is_corrupt() -> None:
+    """One flipped bit makes a hex digit upper case; the test above meets it once in some hundred runs."""
     line = next(
         line
         for line in (encode(Record("word", str(n), [n], "b", 1.5), OURS) for n in range(99))
@@ -100,7 +100,7 @@
     assert read(header_line(OURS) + line[:8].upper() + line[8:], OURS).corrupt_lines == 1
 
 
-def test_another_ingress_s_store_is_recognised_and_nothing_of_it_used(tmp_path: Path) -> None:
+def test_the_store_of_another_ingress_is_recognised_and_not_used(tmp_path: Path) -> None:
     record = Record(OPERATOR_OVERRIDE, "s-1", [True, 5.0, 5.0], "b", 1.0)
     for other in (identity("n2", 1, "lab"), identity("n1", 2, "lab"), identity("n1", 1, "other")):
         (tmp_path / RECORDS_FILE).write_bytes(header_line(other) + encode(record, other))
@@ -115,7 +115,7 @@
 
 
 class StoreModel:
-    """A store against a plain dictionary, with the process ended anywhere."""
+    """Compares a store with a plain dictionary across restarts of the process."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -136,7 +136,7 @@
             self.expected[USAGE, str(number)] = value
 
     def again(self, torn: bytes) -> None:
-        """Ended and begun again; what was being written when it ended is torn."""
+        """Closes and reopens the store, with a truncated write at the end of the file."""
         self.store.close()
         if torn and (self.folder / RECORDS_FILE).exists():
             with (self.folder / RECORDS_FILE).open("ab") as file:
@@ -155,7 +155,7 @@
         max_size=25,
     )
 )
-def test_a_store_is_a_dictionary_whatever_ends_it(
+def test_a_store_behaves_as_a_dictionary_across_restarts(
     tmp_path_factory: pytest.TempPathFactory, steps: list[Any]
 ) -> None:
     model = StoreModel(tmp_path_factory.mktemp("store"))
@@ -165,7 +165,7 @@
     model.store.close()
 
 
-def test_the_file_stays_small_and_the_oldest_use_gives_way(tmp_path: Path) -> None:
+def test_the_file_stays_small_and_the_oldest_usage_records_are_evicted(tmp_path: Path) -> None:
     store = Store(tmp_path, OURS, 100_000)
     assert store.lock()
     store.put([Record(OPERATOR_OVERRIDE, "s-1", [True, 1.0, 1.0], "b", 1.0)])
@@ -180,23 +180,23 @@
     assert (USAGE, "0-0") not in left
 
 
-def test_a_slow_disk_holds_nobody_and_a_full_one_costs_a_line(tmp_path: Path) -> None:
-    full, held = threading.Event(), threading.Event()
+def test_a_slow_disk_blocks_no_caller_and_a_full_one_is_logged_once(tmp_path: Path) -> None:
+    full, released = threading.Event(), threading.Event()
 
     def sync(fd: int) -> None:
         if full.is_set():
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        held.wait(LIMIT)
+        released.wait(LIMIT)
 
     store = Store(tmp_path, OURS, 1 << 20, sync)
     assert store.lock()
     began = time.monotonic()
     for n in range(1000):
         store.put([Record(USAGE, str(n % 10), [n], "b", 1.0)])
-    assert time.monotonic() - began < 1.0  # the sync of the first lasts on
+    assert time.monotonic() - began < 1.0  # while the first sync still blocks
     assert len(store._pending) <= 10
     full.set()
-    held.set()
+    released.set()
     until(lambda: bool(store.log_lines))
     assert list(store.log_lines) == ["store: records: No space left on device; the ingress goes on without"]
     full.clear()
@@ -208,10 +208,10 @@
 
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
-def test_what_a_failed_sync_was_to_make_last_is_written_again_though_nothing_more_comes(
+def test_records_of_a_failed_sync_are_written_again_without_further_records(
     code: int, tmp_path: Path
 ) -> None:
-    """The thread waited for another record, and with a loss of power what was taken on was gone."""
+    """The thread used to wait for the next record, so that a power loss dropped records already accepted."""
     failing, synced = threading.Event(), list[int]()
 
     def sync(fd: int) -> None:
@@ -234,7 +234,7 @@
     store.close()
 
 
-def test_a_sync_that_fails_as_the_store_is_closed_is_tried_again_while_there_is_time(tmp_path: Path) -> None:
+def test_a_sync_that_fails_while_the_store_closes_is_retried_until_the_deadline(tmp_path: Path) -> None:
     faults = [errno.EIO] * 4
 
     def sync(fd: int) -> None:
@@ -249,7 +249,7 @@
     assert kept(tmp_path) == {(OPERATOR_OVERRIDE, "s-1"): [1]}
 
 
-def test_one_process_of_two_writes_and_a_disk_that_is_none_is_a_line(tmp_path: Path) -> None:
+def test_only_one_of_two_processes_writes_and_an_unusable_folder_is_logged(tmp_path: Path) -> None:
     one, two = Store(tmp_path / "a", OURS, 1 << 20), Store(tmp_path / "a", OURS, 1 << 20)
     assert one.lock()
     assert not two.lock()
@@ -258,7 +258,7 @@
     one.close()
     two.close()
     assert kept(tmp_path / "a") == {(USAGE, "one"): [1]}
-    assert two.lock()  # once the other is gone
+    assert two.lock()  # after the other has closed
     two.close()
     (tmp_path / "file").write_text("")
     none = Store(tmp_path / "file" / "b", OURS, 1 << 20)
@@ -278,20 +278,20 @@
     passed=st.floats(0, 5),
     uptime=st.one_of(st.none(), st.floats(0, 5)),
 )
-def test_a_window_is_never_taken_for_emptier_than_it_can_be(
+def test_a_window_is_never_assumed_emptier_than_it_can_be(
     at_write: float, more: float, passed: float, uptime: float | None
 ) -> None:
-    """Whatever went after the last write and however long the loss lasted; a wall clock is not asked."""
+    """Whatever was used after the last write and however long the loss lasted; no wall clock is used."""
     records = [use("a", at_write, 0.0, 100.0), Record(HEARTBEAT, "", 1, "b", 100.0)]
     clock = BootClock("b", 100.0 + passed) if uptime is None else BootClock("c", min(uptime, passed))
     truth = max(0.0, min(12.0, at_write + more) - 4.0 * passed)
     found = select_trusted(records, clock, PLANS)
     level = sum(window.own + window.others for window in found.windows)
     assert truth - 1e-6 <= level <= 12.0
-    assert found.drained_in <= 3.0 + 1e-6  # and it is open again when it must be
+    assert found.drained_in <= 3.0 + 1e-6  # burst / rate: it has drained by then at the latest
 
 
-def test_what_is_trusted_by_kind_age_and_boot() -> None:
+def test_trusted_records_by_kind_age_and_boot() -> None:
     hint = {"base": {}, "limit": 8.0, "took": 1.0, "stretch": {}}
     records = [
         Record(OPERATOR_OVERRIDE, "s-1", [True, 9e9, 9e9], "b", 10.0),
