--- a/standflow/handshakes/__init__.py
+++ b/standflow/handshakes/__init__.py
@@ -1,4 +1,5 @@
-"""Limits on handshakes with next hops, so that one that comes back cold is not met by all ingresses at once.
+"""Limits on handshakes with next hops, so that a restarted one is not flooded by all ingresses at once.
 
-`turns.py`, `costs.py` and `limits.py` decide and do no I/O; `keeper.py` carries it out on connections.
+`time_slots.py`, `costs.py`, `limits.py` and `visible_routes.py` decide and do no I/O; `limiter.py` applies
+the decisions to connections.
 """
--- a/standflow/handshakes/costs.py
+++ b/standflow/handshakes/costs.py
@@ -1,8 +1,8 @@
-"""What a handshake costs a next hop, in processor seconds, as far as that shows from here. No I/O.
+"""Estimates what a handshake costs a next hop, in processor seconds. No I/O.
 
-The time that the other end takes to answer holds its work, what else it was doing, and the way there and
-back. The least of many such times, less the way and taken at the speed that the next hop had, comes closest
-to the work alone; so a low quantile of the last ones is held, never less than what the operator states.
+The measured response time includes the handshake's own work, other load of the next hop and the round trip.
+Low samples, with the round trip subtracted and scaled by the next hop's speed at the time, are closest to the
+work alone. The estimate is therefore a low quantile of recent samples, and never below the configured cost.
 """
 
 from __future__ import annotations
@@ -10,24 +10,24 @@
 import math
 from collections import deque
 
-MAX_SAMPLES = 32  # samples of a kind; some minutes of a calm day, one storm of a bad one
+MAX_SAMPLES = 32  # per kind: some minutes of normal operation, or one reconnect storm
 QUANTILE = 0.25
-COST_STEP = math.sqrt(2.0)  # costs are rounded up to stated * STEP ** k: ingresses that measure alike agree
-MAX_COST_FACTOR = 8.0  # times what is stated: a next hop in trouble must not stop its own recovery
-HYSTERESIS = 0.9  # of the step below must be undercut before the cost falls, so that it does not flap
+COST_STEP = math.sqrt(2.0)  # costs are rounded up to configured * COST_STEP ** k, so that ingresses agree
+MAX_COST_FACTOR = 8.0  # of the configured cost: an overloaded next hop must not stop its own recovery
+HYSTERESIS = 0.9  # the estimate must be below this share of the next lower step before the cost drops
 
 
 class Costs:
     """The cost for each kind of next hop, full or resumed."""
 
     def __init__(self, full: float, resumed: float) -> None:
-        """Both stated by the operator, seconds on a whole core."""
+        """The configured costs, in seconds of a whole core."""
         self.configured = {False: full, True: resumed}
         self.samples: dict[tuple[str, bool], deque[float]] = {}
         self.steps: dict[tuple[str, bool], int] = {}
 
     def observe(self, kind: str, resumed: bool, waited: float, round_trip: float, speed: float) -> None:
-        """A handshake that succeeded: seconds waited in all, of the way, and the part of its speed it had."""
+        """Adds a sample of a successful handshake: `waited`, `round_trip` in seconds, `speed` from 0 to 1."""
         samples = self.samples.setdefault((kind, resumed), deque(maxlen=MAX_SAMPLES))
         samples.append(max(0.0, waited - round_trip) * min(1.0, max(0.0, speed)))
         if len(samples) < MAX_SAMPLES // 4:
@@ -39,5 +39,5 @@
             self.steps[kind, resumed] = step
 
     def cost(self, kind: str, resumed: bool) -> float:
-        """Processor seconds on a whole core."""
+        """The estimated cost in processor seconds of a whole core."""
         return self.configured[resumed] * COST_STEP ** self.steps.get((kind, resumed), 0)
--- a/standflow/handshakes/limiter.py
+++ b/standflow/handshakes/limiter.py
@@ -1,4 +1,4 @@
-"""Carries the limits on handshakes out: opens connections ahead, shows what is ready, replaces the old."""
+"""Applies handshake limits: opens connections in advance, publishes ready next hops, replaces connections."""
 
 from __future__ import annotations
 
@@ -14,16 +14,13 @@
 from standflow.net.stream import Stream
 from standflow.start_times import StartTimes
 
-MIN_CHECK_INTERVAL_SECONDS = 0.002  # seconds between two looks at the same next hop
-NO_CAPACITY_RETRY_SECONDS = 0.1  # seconds until the next look where no connection can be opened from here
-REPLACE_INTERVAL_SECONDS = 0.05  # seconds between looks for connections on old material
+MIN_CHECK_INTERVAL_SECONDS = 0.002  # between two checks of the same next hop
+NO_CAPACITY_RETRY_SECONDS = 0.1  # while this ingress can't open a connection
+REPLACE_INTERVAL_SECONDS = 0.05  # between searches for connections with old TLS material
 
 
 class HandshakeLimiter:
-    """Stands between the route set, the pools of connections and the driver.
-
-    It is the Admission of backend_connection.py.
-    """
+    """Sits between the route set, the connection pools and the driver; implements `Admission`."""
 
     def __init__(
         self,
@@ -36,24 +33,24 @@
         resumable: Callable[[Route], bool] = lambda route: False,
         forget: Callable[[str], None] = lambda hop: None,
     ) -> None:
-        """`ready`: connections that a next hop must have before it is shown. `resumable` and `forget` are of
-        the store of sessions.
+        """`ready`: connections that a next hop needs before it is published. `resumable` and `forget` access
+        the TLS session store.
         """
         self.loop, self.log, self.limits, self.next_hops = loop, log, limits, next_hops
         self.publish, self.min_ready, self.resumable, self.forget = publish, ready, resumable, forget
         self.visible_routes = VisibleRoutes()
         self.starts = StartTimes()
-        self.wanted: set[str] = set()  # a branch found no connection, and none could be opened for it
+        self.wanted: set[str] = set()  # next hops for which a branch was refused a connection
         self.timers: dict[str, Timer] = {}
         self.generation = 1
-        self.offset = time.time() - time.monotonic()  # one for the whole run, as the driver's
+        self.offset = time.time() - time.monotonic()  # fixed for the process run, as in the driver
         self.denied = self.opened_ahead = 0
         next_hops.admission = self
 
     # Route sets.
 
     def update_routes(self, routes: RouteSet) -> None:
-        """Takes in what discovery says; what may be shown goes on to the driver at once."""
+        """Applies a report of discovery and publishes the visible part to the driver at once."""
         now, unix_time = self.loop.now(), time.time()
         before = set(self.visible_routes.entries)
         visible = self.visible_routes.update(routes, now + self.offset)
@@ -76,10 +73,10 @@
             return None
         return self.starts.started(route.hop, route.up_since, now + self.offset, unix_time) - self.offset
 
-    # Admission: what NextHops asks before it dials, and tells after.
+    # Admission: called by NextHops before it dials and on events of connections.
 
     def refusal(self, hop: str) -> Outcome | None:
-        """None where a branch may dial now, else how it ends: moot, or failed where the next hop does."""
+        """None if a branch may dial now, else its outcome: CONNECT_FAILED during a back-off, or MOOT."""
         decision = self._decide(hop)
         if decision is Decision.ALLOW:
             return None
@@ -89,11 +86,11 @@
         return Outcome.CONNECT_FAILED if decision is Decision.BACK_OFF else Outcome.MOOT
 
     def began(self, hop: str, stream: Stream) -> None:
-        """A connection is dialled."""
+        """Records that a connection is being dialled."""
         self.limits.began(hop, _offered(stream), self.loop.now())
 
     def opened(self, connection: Connection, reason: str | None) -> None:
-        """How it went: empty, the reason of the failure, or None: it was given up from here."""
+        """Records the result of dialling: empty for success, the reason of a failure, None if given up."""
         hop, stream = connection.hop.route.hop, connection.stream
         now, offered, handshake = self.loop.now(), _offered(stream), stream.handshake
         if reason is None:
@@ -106,11 +103,11 @@
             self.limits.succeeded(
                 hop, offered, handshake.resumed, handshake.waited, handshake.round_trip, now
             )
-        # Not at once: a failed connection is still counted, and one that rests has yet to replace an old one.
+        # Deferred: a failed connection is still counted, and an idle one has not replaced an old one yet.
         self.loop.call_later(0.0, self._check, hop)
 
     def rested(self, connection: Connection) -> None:
-        """A connection opened ahead is idle now: its next hop may be ready, or an old connection may go."""
+        """A connection opened in advance is idle: publishes its next hop or replaces an old connection."""
         hop = connection.hop
         if (
             len(hop.idle) >= self.min_ready
@@ -124,7 +121,7 @@
                 self.next_hops.end(old, "rotated")
 
     def ended(self, connection: Connection) -> None:
-        """A connection has ended; the last one lost throws doubt on its next hop."""
+        """A connection ended; the loss of the last one makes a restart of its next hop likely."""
         hop = connection.hop
         if connection.reason not in OURS and not any(one.up for one in hop.connections):
             self.limits.connection_lost(hop.route.hop, self.loop.now())
@@ -136,7 +133,7 @@
         return self.limits.decide(hop, self.resumable(entry.route), self.loop.now())
 
     def _check(self, hop: str) -> None:
-        """Opens a connection ahead where one is wanted and allowed; else looks again when it may be."""
+        """Opens a connection in advance if one is needed and allowed, else schedules the next check."""
         timer = self.timers.pop(hop, None)
         if timer is not None:
             timer.cancel()
@@ -154,7 +151,7 @@
                 return
             self.opened_ahead += 1
             if not needs_ready or self.next_hops.ready(hop, self.min_ready):
-                return  # how it ends brings the next look
+                return  # `opened` schedules the next check
             now = self.loop.now()
         next_attempt = self.limits.next_attempt(hop, self.resumable(entry.route), now)
         self.timers[hop] = self.loop.call_at(
@@ -164,14 +161,14 @@
     # Replacement.
 
     def replace_connections(self, generation: int) -> None:
-        """Material of another generation is in use: connections on the one before are replaced in turn."""
+        """Replaces connections with TLS material of an older generation, one at a time per next hop."""
         self.generation = generation
         self._replace_old()
 
     def _needs_replacement(self, hop: str) -> bool:
-        """Every next hop that holds idle connections on old material replaces one at a time.
+        """True if a next hop has idle connections with old TLS material and no replacement is under way.
 
-        One that is on its way up ahead of any branch is waited for, however long its handshake takes.
+        A connection that is being opened in advance counts as replacement however long its handshake takes.
         """
         held = self.next_hops.hops.get(hop)
         if held is None or any(not one.up and one.pending is None for one in held.connections):
--- a/standflow/handshakes/visible_routes.py
+++ b/standflow/handshakes/visible_routes.py
@@ -1,8 +1,8 @@
-"""Which next hops the decision module is shown: those that a connection is ready to. No I/O.
+"""Restricts the route set shown to the decision module to next hops with a ready connection. No I/O.
 
-A next hop that is new, or that was started anew, is held back until it has proved its name and stands ready;
-one that drains or is gone is told at once. So the module neither takes a next hop that waits for its turn to
-handshake for a broken one, nor heaps requests up behind a handshake.
+A next hop that is new or restarted is hidden until a connection to it is ready, its name verified; one that
+drains or is gone is reported at once. The module therefore neither takes a next hop that waits for its time
+slot for a failed one, nor queues requests behind a handshake.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 
 class VisibleRoutes:
-    """The route set as discovery tells it, and the part of it that is shown."""
+    """The route set as reported by discovery, and the visible part of it."""
 
     def __init__(self) -> None:
         self.entries: dict[str, _Entry] = {}
         self.revision = 0
 
     def update(self, routes: RouteSet, unix_time: float) -> RouteSet:
-        """Takes in what discovery says and returns what may be shown of it at once; `wall` is Unix time."""
+        """Applies a report of discovery and returns the part that is visible at once."""
         self.revision = routes.revision
         if routes.complete:
             listed = {route.hop for route in routes.routes}
@@ -36,7 +36,7 @@
             for route in (self._update_one(one, routes.complete, unix_time) for one in routes.routes)
             if route
         ]
-        if routes.complete:  # what a whole set does not name is gone
+        if routes.complete:  # next hops that a complete set does not list count as gone anyway
             visible = [route for route in visible if route.phase is not Phase.GONE]
         return RouteSet(routes.revision, routes.complete, tuple(visible))
 
@@ -47,7 +47,7 @@
             return route if entry is not None and entry.visible else None
         if entry is None:
             if route.up_since is None and not complete:
-                route = replace(route, up_since=unix_time)  # new without a start: cold is the safe reading
+                route = replace(route, up_since=unix_time)  # new, start time unknown: assume it is cold
             self.entries[route.hop] = _Entry(route, False)
             return None
         before = entry.route
@@ -62,7 +62,7 @@
         return route
 
     def awaiting_connection(self) -> list[Route]:
-        """The next hops that serve, and are held back until a connection is ready."""
+        """The serving next hops that are hidden until a connection is ready."""
         return [
             entry.route
             for entry in self.entries.values()
@@ -70,7 +70,7 @@
         ]
 
     def mark_ready(self, hop: str) -> RouteSet | None:
-        """A connection to a next hop is ready: all that is shown from now on, or None if nothing changes."""
+        """Makes a next hop visible; returns all visible routes, or None if nothing changes."""
         entry = self.entries.get(hop)
         if entry is None or entry.visible or entry.route.phase is not Phase.SERVING:
             return None
