--- a/tests/test_handshakes.py
+++ b/tests/test_handshakes.py
@@ -1,4 +1,4 @@
-"""Limits on handshakes: the arithmetic against fleets in simulated time, and what carries it out."""
+"""Handshake limits: the arithmetic with fleets in simulated time, and the limiter on real connections."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     return Limits(replace(OPTIONS, **changes), WARM_UP, ingresses, number, random.Random(seed))
 
 
-# Turns.
+# Time slots.
 
 
 @example(1 - 2**-53, 2.0, 1.0, 1.0)  # hardly any rise
@@ -62,7 +62,7 @@
 
 
 @given(st.integers(1, 300), st.integers(0, 10**6), st.text(max_size=8))
-def test_each_turn_belongs_to_one_ingress_and_each_has_its_own_before_long(
+def test_each_slot_belongs_to_one_ingress_and_each_ingress_has_one_per_round(
     ingresses: int, slot: int, hop: str
 ) -> None:
     all_slots = [TimeSlots(WARM_UP, 1.0, 0.2, 0.0007, ingresses, n, hop) for n in range(ingresses)]
@@ -74,43 +74,43 @@
 
 
 class Fleet:
-    """Ingresses that handshake with one cold next hop as often as they may, in simulated time."""
+    """Ingresses that handshake with one cold next hop as often as allowed, in simulated time."""
 
     def __init__(self, ingresses: int, cores: float, cost: float, seed: int) -> None:
-        self.chance, self.ingresses = random.Random(seed), ingresses
+        self.rng, self.ingresses = random.Random(seed), ingresses
         self.options: dict[str, Any] = {"cores": {"*": cores}, "cost": cost}
         self.begun: list[float] = []
 
     def run(self, until: float, learns: float, restarts: int, dead: int) -> None:
-        """Each learns of the next hop within `learns` seconds of its start at 0; some die, some restart."""
+        """Each learns of the next hop within `learns` seconds of its start at 0; some fail, some restart."""
         queue: list[tuple[float, int, int, str]] = []
         alive: dict[int, tuple[int, Limits]] = {}
         for number in range(self.ingresses):
             if number >= dead:
-                heapq.heappush(queue, (self.chance.uniform(0, learns), number, 0, "start"))
-        for life in range(1, restarts + 1):
-            number = self.chance.randrange(self.ingresses)
-            heapq.heappush(queue, (self.chance.uniform(0, until), number, life, "start"))
+                heapq.heappush(queue, (self.rng.uniform(0, learns), number, 0, "start"))
+        for process_run in range(1, restarts + 1):
+            number = self.rng.randrange(self.ingresses)
+            heapq.heappush(queue, (self.rng.uniform(0, until), number, process_run, "start"))
         while queue:
-            now, number, life, what = heapq.heappop(queue)
+            now, number, process_run, what = heapq.heappop(queue)
             if now >= until:
                 return
             if what == "start":
-                made = limits(self.ingresses, number, life * 1000 + number, **self.options)
-                made.update_hop("s", "k", 0.0, now)
-                alive[number] = (life, made)
-            if alive.get(number, (None, None))[0] != life:
+                hop_limits = limits(self.ingresses, number, process_run * 1000 + number, **self.options)
+                hop_limits.update_hop("s", "k", 0.0, now)
+                alive[number] = (process_run, hop_limits)
+            if alive.get(number, (None, None))[0] != process_run:
                 continue
-            made = alive[number][1]
+            hop_limits = alive[number][1]
             if what == "end":
-                made.succeeded("s", False, False, 0.0, 0.0, now)
-            elif made.decide("s", False, now) is Decision.ALLOW:
-                made.began("s", False, now)
+                hop_limits.succeeded("s", False, False, 0.0, 0.0, now)
+            elif hop_limits.decide("s", False, now) is Decision.ALLOW:
+                hop_limits.began("s", False, now)
                 self.begun.append(now)
-                heapq.heappush(queue, (now + self.chance.uniform(0.001, 0.02), number, life, "end"))
+                heapq.heappush(queue, (now + self.rng.uniform(0.001, 0.02), number, process_run, "end"))
                 continue
-            at = max(made.next_attempt("s", False, now), now + 1e-4)
-            heapq.heappush(queue, (at, number, life, "look"))
+            at = max(hop_limits.next_attempt("s", False, now), now + 1e-4)
+            heapq.heappush(queue, (at, number, process_run, "look"))
 
 
 @SLOW
@@ -123,7 +123,7 @@
     dead=st.integers(0, 30),
     seed=st.integers(0, 10**6),
 )
-def test_all_ingresses_together_stay_within_the_share_whatever_they_do(
+def test_all_ingresses_together_stay_within_the_share(
     ingresses: int, cores: float, cost: float, learns: float, restarts: int, dead: int, seed: int
 ) -> None:
     fleet = Fleet(ingresses, cores, cost, seed)
@@ -134,15 +134,15 @@
             first += 1
         begin = begun[first]
         able = WARM_UP.work(at, cores) - WARM_UP.work(begin, cores)
-        # of n handshakes from one begin to another n - 1 fit between them, and one more is on
+        # of n handshakes that begin in a window, n - 1 fit into it and one more is in flight
         assert (last - first + 1) * cost <= OPTIONS.share * able + 2 * cost + 1e-6
     if dead == 0 and restarts == 0 and learns == 0.0 and ingresses <= 3 and cost <= 0.002:
         whole = OPTIONS.share * WARM_UP.work(16.9, cores) / cost
-        assert len(begun) > 0.5 * whole / ingresses  # what is granted is used, not only withheld
+        assert len(begun) > 0.5 * whole / ingresses  # the share is used, not only limited
 
 
-def test_the_bound_is_what_the_page_says() -> None:
-    """The figures of docs/design/tls.md: a share of 20% and one handshake more, whatever the number."""
+def test_the_worst_case_share_matches_the_documentation() -> None:
+    """The figures of docs/design/tls.md: a share of 20% plus one handshake for any number of ingresses."""
     for ingresses in (3, 20, 1000):
         slots = TimeSlots(WARM_UP, 1.0, 0.2, 0.0007, ingresses, 0, "s")
         assert worst_case_share(slots, 0.0, 3.0) < 0.2015
@@ -151,102 +151,102 @@
     )
 
 
-def test_a_restarted_ingress_lets_the_turn_pass_that_its_life_before_may_have_used() -> None:
-    made, again = limits(1), limits(1)
-    made.update_hop("s", "k", 0.0, 1.0)
+def test_a_restarted_ingress_skips_the_slot_that_its_previous_process_may_have_used() -> None:
+    hop_limits, again = limits(1), limits(1)
+    hop_limits.update_hop("s", "k", 0.0, 1.0)
     age = TimeSlots(WARM_UP, 1.0, 0.2, 0.0007, 1, 0, "s").start_of(60)
-    made.began("s", False, age + 1e-4)
+    hop_limits.began("s", False, age + 1e-4)
     again.update_hop("s", "k", 0.0, age + 2e-4)
     assert again.decide("s", False, age + 3e-4) is Decision.DEFER
     assert again.decide("s", False, again.next_attempt("s", False, age + 3e-4) + 1e-6) is Decision.ALLOW
 
 
-def test_at_a_cold_next_hop_one_handshake_is_out_at_once() -> None:
-    made = limits(1)
-    made.update_hop("s", "k", 0.0, 0.0)
-    at = made.next_attempt("s", False, 0.0) + 1e-6
-    made.began("s", False, at)
-    later = made.next_attempt("s", False, at + 1.0) + 1e-6
-    assert made.decide("s", False, later) is Decision.DEFER
-    made.given_up("s", False)
-    assert made.decide("s", False, later) is Decision.ALLOW
+def test_a_cold_next_hop_has_one_handshake_in_flight() -> None:
+    hop_limits = limits(1)
+    hop_limits.update_hop("s", "k", 0.0, 0.0)
+    at = hop_limits.next_attempt("s", False, 0.0) + 1e-6
+    hop_limits.began("s", False, at)
+    later = hop_limits.next_attempt("s", False, at + 1.0) + 1e-6
+    assert hop_limits.decide("s", False, later) is Decision.DEFER
+    hop_limits.given_up("s", False)
+    assert hop_limits.decide("s", False, later) is Decision.ALLOW
 
 
-def test_a_warm_next_hop_gets_an_even_part_and_no_more_at_once_than_a_seconds_worth() -> None:
-    made, begun, now = limits(10), 0, 100.0
-    made.update_hop("s", "k", None, now)
+def test_a_warm_next_hop_gets_an_equal_part_and_a_burst_of_at_most_one_second() -> None:
+    hop_limits, begun, now = limits(10), 0, 100.0
+    hop_limits.update_hop("s", "k", None, now)
     for step in range(300):
         now = 100.0 + step / 100
-        while made.decide("s", False, now) is Decision.ALLOW:
-            made.began("s", False, now)
-            made.succeeded("s", False, False, 0.0, 0.0, now)
+        while hop_limits.decide("s", False, now) is Decision.ALLOW:
+            hop_limits.began("s", False, now)
+            hop_limits.succeeded("s", False, False, 0.0, 0.0, now)
             begun += 1
     assert begun == pytest.approx((3.0 + 1.0) * 0.5 / 10 / OPTIONS.cost, abs=2)
-    assert made.next_attempt("s", False, now) >= now
+    assert hop_limits.next_attempt("s", False, now) >= now
     other = limits(1, cores={"*": 64.0})
     other.update_hop("s", "k", None, 0.0)
     for _ in range(MAX_IN_FLIGHT):
         assert other.decide("s", False, 1.0) is Decision.ALLOW
         other.began("s", False, 1.0)
     assert other.decide("s", False, 1.0) is Decision.DEFER
-    assert other.decide("unheard", False, 1.0) is Decision.DEFER
-    assert other.next_attempt("unheard", False, 1.0) == math.inf
+    assert other.decide("unknown", False, 1.0) is Decision.DEFER
+    assert other.next_attempt("unknown", False, 1.0) == math.inf
 
 
-def test_failures_pause_longer_each_time_and_no_two_ingresses_in_step() -> None:
+def test_failures_back_off_exponentially_with_jitter() -> None:
     pauses: list[list[float]] = []
     for seed in range(20):
-        made, now = limits(20, seed, seed), 100.0
-        made.update_hop("s", "k", None, now)
+        hop_limits, now = limits(20, seed, seed), 100.0
+        hop_limits.update_hop("s", "k", None, now)
         own = []
         for _ in range(9):
-            made.began("s", False, now)
-            made.failed("s", False, now)
-            assert made.decide("s", False, now) is Decision.BACK_OFF
-            at = made.next_attempt("s", False, now)
+            hop_limits.began("s", False, now)
+            hop_limits.failed("s", False, now)
+            assert hop_limits.decide("s", False, now) is Decision.BACK_OFF
+            at = hop_limits.next_attempt("s", False, now)
             own.append(at - now)
             now = at
         pauses.append(own)
         for step, pause in enumerate(own):
             assert min(5.0, 0.1 * 2**step) / 2 <= pause <= min(5.0, 0.1 * 2**step)
-        made.began("s", False, now)
-        made.succeeded("s", False, False, 0.0, 0.0, now)
-        made.began("s", False, now)
-        made.failed("s", False, now)
-        assert made.next_attempt("s", False, now) - now <= 0.1  # well again: it begins anew
+        hop_limits.began("s", False, now)
+        hop_limits.succeeded("s", False, False, 0.0, 0.0, now)
+        hop_limits.began("s", False, now)
+        hop_limits.failed("s", False, now)
+        assert hop_limits.next_attempt("s", False, now) - now <= 0.1  # a success resets the back-off
     for step in range(9):
         assert len({round(own[step], 6) for own in pauses}) == 20
 
 
-def test_a_next_hop_that_declines_a_session_was_restarted_and_is_cold_before_the_list_says_so() -> None:
-    made = limits()
-    made.update_hop("s", "k", None, 0.0)
-    made.began("s", True, 50.0)
-    made.succeeded("s", True, False, 0.002, 0.0, 50.0)
-    assert made.is_restart_suspected("s", 50.0)
-    made.update_hop("s", "k", None, 50.5)  # the list still has it as it was
-    assert made.is_restart_suspected("s", 50.5)
-    made.update_hop("s", "k", 49.0, 52.0)
-    assert not made.is_restart_suspected("s", 52.0)
-    assert made.is_cold("s", 52.0)
-    made.remove("s")
-    assert made.decide("s", False, 53.0) is Decision.DEFER
-
-
-def test_in_doubt_all_ingresses_keep_to_what_one_just_started_can_do_and_to_one_clock() -> None:
-    """They saw it go at different times, and their own clocks began at different times."""
-    begun, chance = [], random.Random(3)
+def test_a_next_hop_that_declines_a_session_is_suspected_restarted_before_discovery_reports_it() -> None:
+    hop_limits = limits()
+    hop_limits.update_hop("s", "k", None, 0.0)
+    hop_limits.began("s", True, 50.0)
+    hop_limits.succeeded("s", True, False, 0.002, 0.0, 50.0)
+    assert hop_limits.is_restart_suspected("s", 50.0)
+    hop_limits.update_hop("s", "k", None, 50.5)  # discovery still has the old start
+    assert hop_limits.is_restart_suspected("s", 50.5)
+    hop_limits.update_hop("s", "k", 49.0, 52.0)
+    assert not hop_limits.is_restart_suspected("s", 52.0)
+    assert hop_limits.is_cold("s", 52.0)
+    hop_limits.remove("s")
+    assert hop_limits.decide("s", False, 53.0) is Decision.DEFER
+
+
+def test_after_a_suspected_restart_all_ingresses_share_wall_clock_slots_of_a_cold_next_hop() -> None:
+    """They lost their connections at different times, and their monotonic clocks differ."""
+    begun, rng = [], random.Random(3)
     for number in range(20):
-        clock = chance.uniform(-1e6, 1e6)
-        made = Limits(OPTIONS, WARM_UP, 20, number, chance, clock)
+        clock = rng.uniform(-1e6, 1e6)
+        hop_limits = Limits(OPTIONS, WARM_UP, 20, number, rng, clock)
         now, until = 1000.0 - clock, 1010.0 - clock
-        made.update_hop("s", "k", None, now)
-        assert made.decide("s", False, now) is Decision.ALLOW  # warm, as far as anybody knows
-        made.connection_lost("s", now + chance.uniform(0, 0.3))
-        while (now := max(made.next_attempt("s", False, now), now + 1e-4)) < until:
-            if made.decide("s", False, now) is Decision.ALLOW:
-                made.began("s", False, now)
-                made.given_up("s", False)
+        hop_limits.update_hop("s", "k", None, now)
+        assert hop_limits.decide("s", False, now) is Decision.ALLOW  # warm, as far as anybody knows
+        hop_limits.connection_lost("s", now + rng.uniform(0, 0.3))
+        while (now := max(hop_limits.next_attempt("s", False, now), now + 1e-4)) < until:
+            if hop_limits.decide("s", False, now) is Decision.ALLOW:
+                hop_limits.began("s", False, now)
+                hop_limits.given_up("s", False)
                 begun.append(now + clock)
     begun.sort()
     for first in range(len(begun)):
@@ -256,71 +256,75 @@
     assert len(begun) * OPTIONS.cost > 0.9 * 0.2 * 0.15 * 9.0
 
 
-def test_doubt_ends_when_a_session_is_taken_up_or_the_time_to_get_warm_has_passed() -> None:
-    made = limits(1)
-    made.update_hop("s", "k", None, 0.0)
-    made.connection_lost("s", 10.0)
-    assert made.is_restart_suspected("s", 1000.0)  # however long it is away
-    made.began("s", True, 1000.0)
-    made.succeeded("s", True, True, 0.001, 0.0, 1000.0)
-    assert not made.is_restart_suspected("s", 1000.0)
-    made.connection_lost("s", 1001.0)
-    made.began("s", False, 1002.0)
-    made.succeeded("s", False, False, 0.001, 0.0, 1002.0)  # no session was there to tell
-    assert made.is_restart_suspected("s", 1018.9)
-    assert not made.is_restart_suspected("s", 1019.1)
-
-
-def test_costs_follow_the_low_end_of_what_is_seen_in_steps_that_others_share() -> None:
+def test_a_suspected_restart_ends_with_a_resumed_session_or_the_warm_up_time() -> None:
+    hop_limits = limits(1)
+    hop_limits.update_hop("s", "k", None, 0.0)
+    hop_limits.connection_lost("s", 10.0)
+    assert hop_limits.is_restart_suspected("s", 1000.0)  # however long it is unreachable
+    hop_limits.began("s", True, 1000.0)
+    hop_limits.succeeded("s", True, True, 0.001, 0.0, 1000.0)
+    assert not hop_limits.is_restart_suspected("s", 1000.0)
+    hop_limits.connection_lost("s", 1001.0)
+    hop_limits.began("s", False, 1002.0)
+    hop_limits.succeeded(
+        "s", False, False, 0.001, 0.0, 1002.0
+    )  # no session was offered, so this shows no restart
+    assert hop_limits.is_restart_suspected("s", 1018.9)
+    assert not hop_limits.is_restart_suspected("s", 1019.1)
+
+
+def test_costs_follow_the_low_quantile_of_samples_in_common_steps() -> None:
     costs = Costs(0.001, 0.0005)
     assert (costs.cost("k", False), costs.cost("k", True)) == (0.001, 0.0005)
-    for waited in [0.0029] * 20 + [0.5] * 8:  # a crowd makes most of them slow, and that is not their cost
+    for waited in [0.0029] * 20 + [0.5] * 8:  # slow because of load, which is not part of the cost
         costs.observe("k", False, waited + 0.001, 0.001, 1.0)
     assert costs.cost("k", False) == pytest.approx(0.001 * COST_STEP**4)  # the step above 2.9 times
     assert costs.cost("k", True) == 0.0005
     assert costs.cost("other", False) == 0.001
     for _ in range(MAX_SAMPLES):
-        costs.observe("k", False, 0.0028 + 0.001, 0.001, 1.0)  # just under the step below: it stays
+        costs.observe(
+            "k", False, 0.0028 + 0.001, 0.001, 1.0
+        )  # just below the lower step: hysteresis keeps the cost
     assert costs.cost("k", False) == pytest.approx(0.001 * COST_STEP**4)
     for _ in range(MAX_SAMPLES):
         costs.observe("k", False, 0.0002, 0.001, 1.0)
-    assert costs.cost("k", False) == 0.001  # what is stated is the least
+    assert costs.cost("k", False) == 0.001  # never below the configured cost
     for _ in range(MAX_SAMPLES):
-        costs.observe("k", False, 0.02, 0.0, 0.15)  # waited long of one that was slow then
+        costs.observe("k", False, 0.02, 0.0, 0.15)  # long waits at a next hop with 15% of its speed
     assert costs.cost("k", False) == pytest.approx(0.001 * COST_STEP**4)
     for _ in range(MAX_SAMPLES):
         costs.observe("k", False, 9.0, 0.0, 1.0)
     assert costs.cost("k", False) == pytest.approx(0.001 * MAX_COST_FACTOR, rel=0.01)
 
 
-# What is shown.
+# Visible routes.
 
 
 def route(hop: str, phase: Phase = Phase.SERVING, up: float | None = None, port: int = 1) -> Route:
     return Route(hop, ("127.0.0.1", port), "room-b", "std", 0, phase, 1.0, up)
 
 
-class ShowingModel(RuleBasedStateMachine):
-    """What the module has been told is what serves or drains and has been ready since its last start."""
+class VisibleRoutesModel(RuleBasedStateMachine):
+    """The visible next hops are those that serve or drain and were ready since their last start."""
 
     def __init__(self) -> None:
         super().__init__()
         self.visible_routes, self.revision = VisibleRoutes(), 0
         self.truth: dict[str, Route] = {}
         self.ready_for: dict[str, float | None] = {}  # the start that a connection was ready for
-        self.shown: dict[str, Route] = {}
+        self.visible: dict[str, Route] = {}
 
-    def take(self, told: RouteSet | None) -> None:
-        if told is None:
+    def take(self, report: RouteSet | None) -> None:
+        if report is None:
             return
-        if told.complete:
-            self.shown = {}
-        for one in told.routes:
+        if report.complete:
+            self.visible = {}
+        for one in report.routes:
             if one.phase is Phase.GONE:
-                assert one.hop in self.shown
-                del self.shown[one.hop]
+                assert one.hop in self.visible
+                del self.visible[one.hop]
             else:
-                self.shown[one.hop] = one
+                self.visible[one.hop] = one
 
     @rule(
         hop=st.sampled_from("abc"),
@@ -328,7 +332,7 @@
         up=st.sampled_from([1.0, 2.0, 3.0]),
         complete=st.booleans(),
     )
-    def told(self, hop: str, phase: Phase, up: float, complete: bool) -> None:
+    def report(self, hop: str, phase: Phase, up: float, complete: bool) -> None:
         self.revision += 1
         before = self.truth.get(hop)
         if phase is Phase.GONE:
@@ -347,18 +351,20 @@
             self.ready_for[hop] = self.truth[hop].up_since
 
     @invariant()
-    def only_what_is_ready_is_shown(self) -> None:
+    def only_ready_next_hops_are_visible(self) -> None:
         expected = {hop: one for hop, one in self.truth.items() if self.ready_for.get(hop) == one.up_since}
-        assert self.shown == expected
+        assert self.visible == expected
         waiting = {one.hop for one in self.visible_routes.awaiting_connection()}
         assert waiting == {h for h, one in self.truth.items() if one.phase is Phase.SERVING} - set(expected)
 
 
-TestShowing = ShowingModel.TestCase
-TestShowing.settings = settings(derandomize=True, max_examples=150, stateful_step_count=30, deadline=None)
+TestVisibleRoutes = VisibleRoutesModel.TestCase
+TestVisibleRoutes.settings = settings(
+    derandomize=True, max_examples=150, stateful_step_count=30, deadline=None
+)
 
 
-def test_one_that_is_new_without_a_start_counts_as_cold_and_one_of_the_first_list_does_not() -> None:
+def test_a_new_next_hop_without_a_start_time_counts_as_cold_unless_it_is_in_the_first_list() -> None:
     visible_routes = VisibleRoutes()
     visible_routes.update(RouteSet(1, True, (route("a"),)), 99.0)
     visible_routes.update(RouteSet(2, False, (route("b"),)), 99.0)
@@ -368,45 +374,45 @@
     }
     visible_routes.update(
         RouteSet(3, True, (route("a"), route("b"))), 120.0
-    )  # told again, it has not started again
+    )  # listed again, but not restarted
     assert visible_routes.entries["b"].route.up_since == 99.0
 
 
-# What carries it out.
+# The limiter.
 
 
-class Kept:
-    """A rig whose connections a keeper limits; the clock moves when the test says so."""
+class LimitedRig:
+    """A rig whose connections a HandshakeLimiter limits."""
 
     def __init__(self, rig: Rig, ingresses: int = 3, **changes: Any) -> None:
-        self.rig, self.shown = rig, list[RouteSet]()
+        self.rig, self.published = rig, list[RouteSet]()
         self.limits = limits(ingresses, **changes)
         self.limiter = HandshakeLimiter(
             rig.at.loop,
             rig.at.log.append,
             self.limits,
             rig.side,
-            self.shown.append,
+            self.published.append,
             changes.get("ready", 1),
         )
         self.limiter.resumable, self.limiter.forget = rig.streams.resumable, rig.streams.forget
         rig.streams.changed = self.limiter.replace_connections
         self.revision = 10
 
-    def told(self, phase: Phase = Phase.SERVING, up: float | None = None) -> None:
+    def report(self, phase: Phase = Phase.SERVING, up: float | None = None) -> None:
         self.revision += 1
         one = Route("tt-07", self.rig.address, "room-b", "std", 0, phase, 1.0, up)
         self.limiter.update_routes(RouteSet(self.revision, True, (one,)))
 
-    def shown_hops(self) -> list[str]:
-        return [one.hop for one in self.shown[-1].routes]
+    def published_hops(self) -> list[str]:
+        return [one.hop for one in self.published[-1].routes]
 
     def until(self, met: Any) -> None:
         turn_until(self.rig.at.loop, met)
 
 
 @pytest.fixture
-def rigged(tmp_path: Path) -> Any:
+def tls_rig(tmp_path: Path) -> Any:
     with Box(server_context(CERT)) as box:
         rig = Rig(box.address, options(tmp_path))
         rig.box = box  # type: ignore[attr-defined]
@@ -414,148 +420,153 @@
         rig.close()
 
 
-def test_a_next_hop_is_shown_when_a_connection_is_ready_and_its_first_branch_uses_it(rigged: Any) -> None:
-    kept = Kept(rigged)
-    kept.told()
-    assert kept.shown_hops() == []
-    kept.until(lambda: kept.shown_hops() == ["tt-07"])
-    assert rigged.ask() is Outcome.OK
-    assert rigged.box.counts.connections == 1
-
-
-def test_a_cold_one_is_shown_after_its_turn_and_a_branch_too_many_is_moot_not_broken(rigged: Any) -> None:
-    kept = Kept(rigged, ingresses=40)
-    unix_time = kept.rig.at.loop.now() + kept.limiter.offset
-    kept.told(up=unix_time - 0.001)
-    began = kept.rig.at.loop.now()
-    kept.until(lambda: kept.shown_hops() == ["tt-07"] and rigged.box.counts.full == 1)
-    first, second = rigged.send(), rigged.send()  # one connection is ready, and no turn for another one
-    kept.until(lambda: second.ended is not None)
+def test_a_next_hop_is_published_when_a_connection_is_ready_and_the_first_branch_uses_it(
+    tls_rig: Any,
+) -> None:
+    limited = LimitedRig(tls_rig)
+    limited.report()
+    assert limited.published_hops() == []
+    limited.until(lambda: limited.published_hops() == ["tt-07"])
+    assert tls_rig.ask() is Outcome.OK
+    assert tls_rig.box.counts.connections == 1
+
+
+def test_a_cold_next_hop_is_published_after_its_slot_and_excess_branches_are_moot(tls_rig: Any) -> None:
+    limited = LimitedRig(tls_rig, ingresses=40)
+    unix_time = limited.rig.at.loop.now() + limited.limiter.offset
+    limited.report(up=unix_time - 0.001)
+    began = limited.rig.at.loop.now()
+    limited.until(lambda: limited.published_hops() == ["tt-07"] and tls_rig.box.counts.full == 1)
+    first, second = (
+        tls_rig.send(),
+        tls_rig.send(),
+    )  # one connection is ready, and there is no slot for another
+    limited.until(lambda: second.ended is not None)
     assert second.ended is Outcome.MOOT
-    kept.until(lambda: first.ended is not None)
+    limited.until(lambda: first.ended is not None)
     assert first.ended is Outcome.OK
-    assert kept.limiter.denied == 1
-    # it was wanted: another one is opened ahead at the next turn, well after the first
-    kept.until(lambda: rigged.box.counts.connections == 2)
-    assert kept.rig.at.loop.now() - began > 20 * OPTIONS.cost / OPTIONS.share
-    assert not rigged.at.gone
+    assert limited.limiter.denied == 1
+    # the refused branch makes the limiter open another one at its next slot, well after the first
+    limited.until(lambda: tls_rig.box.counts.connections == 2)
+    assert limited.rig.at.loop.now() - began > 20 * OPTIONS.cost / OPTIONS.share
+    assert not tls_rig.at.gone
 
 
 @pytest.mark.parametrize("ahead", [-3600.0, 3600.0])
-def test_a_clock_that_was_wrong_at_the_start_makes_no_cold_next_hop_warm_and_none_cold_for_long(
-    ahead: float, rigged: Any, monkeypatch: pytest.MonkeyPatch
+def test_a_clock_that_was_wrong_at_the_start_neither_hides_nor_prolongs_a_warm_up(
+    ahead: float, tls_rig: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The age of a next hop was reckoned by the clock of the start alone, though that was put right since.
+    # The age of a next hop was computed only with the clock offset at the start, even after a correction.
     wall = time.time
     with monkeypatch.context() as patch:
         patch.setattr(time, "time", lambda: wall() + ahead)
-        kept = Kept(rigged, ingresses=40)
-    kept.told(up=time.time() - 1.0)
-    now = kept.rig.at.loop.now()
-    assert kept.limits.is_cold("tt-07", now)
-    assert not kept.limits.is_cold("tt-07", now + WARM_UP.cold_time)
-
-
-def test_one_that_drains_is_told_at_once_and_a_restarted_one_goes_until_it_is_ready(rigged: Any) -> None:
-    kept = Kept(rigged)
-    kept.told(up=5.0)
-    kept.until(lambda: kept.shown_hops() == ["tt-07"])
-    kept.told(up=6.0)
-    assert kept.shown_hops() == []
-    kept.until(lambda: kept.shown_hops() == ["tt-07"])
-    kept.told(Phase.DRAINING, up=6.0)
-    assert [one.phase for one in kept.shown[-1].routes] == [Phase.DRAINING]
-    kept.limiter.update_routes(RouteSet(99, True, ()))
-    assert kept.shown[-1] == RouteSet(99, True, ())
-    assert rigged.streams.sessions.count("tt-07") == 0
-
-
-def test_one_that_fails_is_not_shown_and_asked_again_after_a_pause(rigged: Any) -> None:
-    rigged.box.mode = Mode(cut_after=100)
-    kept = Kept(rigged, back_off=(0.01, 0.02))
-    kept.told()
-    kept.until(lambda: rigged.ends().count("cut_off") == 4)
-    assert kept.shown_hops() == []
-    branch = rigged.send()
-    kept.until(lambda: branch.ended is not None)
+        limited = LimitedRig(tls_rig, ingresses=40)
+    limited.report(up=time.time() - 1.0)
+    now = limited.rig.at.loop.now()
+    assert limited.limits.is_cold("tt-07", now)
+    assert not limited.limits.is_cold("tt-07", now + WARM_UP.cold_time)
+
+
+def test_draining_is_published_at_once_and_a_restarted_next_hop_is_hidden_until_ready(tls_rig: Any) -> None:
+    limited = LimitedRig(tls_rig)
+    limited.report(up=5.0)
+    limited.until(lambda: limited.published_hops() == ["tt-07"])
+    limited.report(up=6.0)
+    assert limited.published_hops() == []
+    limited.until(lambda: limited.published_hops() == ["tt-07"])
+    limited.report(Phase.DRAINING, up=6.0)
+    assert [one.phase for one in limited.published[-1].routes] == [Phase.DRAINING]
+    limited.limiter.update_routes(RouteSet(99, True, ()))
+    assert limited.published[-1] == RouteSet(99, True, ())
+    assert tls_rig.streams.sessions.count("tt-07") == 0
+
+
+def test_a_next_hop_that_fails_is_not_published_and_retried_after_a_back_off(tls_rig: Any) -> None:
+    tls_rig.box.mode = Mode(cut_after=100)
+    limited = LimitedRig(tls_rig, back_off=(0.01, 0.02))
+    limited.report()
+    limited.until(lambda: tls_rig.ends().count("cut_off") == 4)
+    assert limited.published_hops() == []
+    branch = tls_rig.send()
+    limited.until(lambda: branch.ended is not None)
     assert branch.ended is Outcome.CONNECT_FAILED
-    rigged.box.mode = Mode()
-    kept.until(lambda: kept.shown_hops() == ["tt-07"])
-
-
-def test_connections_on_old_material_are_replaced_one_by_one_and_open_requests_finish(rigged: Any) -> None:
-    kept = Kept(rigged, ready=3)
-    kept.told()
-    kept.until(lambda: kept.shown_hops() == ["tt-07"])
-    rigged.box.mode.silent = True
-    busy = rigged.send()
-    kept.until(lambda: busy.carrier.whole)
-    rigged.streams.reload(rigged.streams.options)
-    rigged.box.mode = Mode()
-    kept.until(lambda: rigged.ends().count("rotated") == 2)
+    tls_rig.box.mode = Mode()
+    limited.until(lambda: limited.published_hops() == ["tt-07"])
+
+
+def test_connections_on_old_material_are_replaced_one_by_one_and_open_requests_finish(tls_rig: Any) -> None:
+    limited = LimitedRig(tls_rig, ready=3)
+    limited.report()
+    limited.until(lambda: limited.published_hops() == ["tt-07"])
+    tls_rig.box.mode.silent = True
+    busy = tls_rig.send()
+    limited.until(lambda: busy.carrier.whole)
+    tls_rig.streams.reload(tls_rig.streams.options)
+    tls_rig.box.mode = Mode()
+    limited.until(lambda: tls_rig.ends().count("rotated") == 2)
     assert busy.ended is None  # on the old material, and it stays until it is done
-    assert {one.stream.generation for one in rigged.side.hops["tt-07"].idle} == {2}
-    assert rigged.ask() is Outcome.OK
-    rigged.at.exchange.cancel(busy.transaction.name, busy.number)
-
-
-def test_a_replacement_is_waited_for_however_long_its_handshake_takes(rigged: Any) -> None:
-    # Every 50 ms of a slow handshake a further connection was opened in place of the same old one.
-    kept = Kept(rigged)
-    kept.told()
-    kept.until(lambda: kept.shown_hops() == ["tt-07"])
-    opened_before, looked_until = kept.limiter.opened_ahead, kept.rig.at.loop.now() + 0.5
-    rigged.box.mode = Mode(stall_at=0)
-    rigged.streams.reload(rigged.streams.options)
-    kept.until(lambda: kept.rig.at.loop.now() > looked_until)
-    assert kept.limiter.opened_ahead - opened_before == 1
-    assert rigged.ends().count("rotated") == 0
-
-
-def test_the_last_connection_lost_throws_doubt_on_a_next_hop_and_one_closed_from_here_does_not(
-    rigged: Any,
+    assert {one.stream.generation for one in tls_rig.side.hops["tt-07"].idle} == {2}
+    assert tls_rig.ask() is Outcome.OK
+    tls_rig.at.exchange.cancel(busy.transaction.name, busy.number)
+
+
+def test_a_replacement_is_waited_for_however_long_its_handshake_takes(tls_rig: Any) -> None:
+    # During a slow handshake another replacement for the same connection was opened every 50 ms.
+    limited = LimitedRig(tls_rig)
+    limited.report()
+    limited.until(lambda: limited.published_hops() == ["tt-07"])
+    opened_before, looked_until = limited.limiter.opened_ahead, limited.rig.at.loop.now() + 0.5
+    tls_rig.box.mode = Mode(stall_at=0)
+    tls_rig.streams.reload(tls_rig.streams.options)
+    limited.until(lambda: limited.rig.at.loop.now() > looked_until)
+    assert limited.limiter.opened_ahead - opened_before == 1
+    assert tls_rig.ends().count("rotated") == 0
+
+
+def test_losing_the_last_connection_suspects_a_restart_and_closing_one_does_not(
+    tls_rig: Any,
 ) -> None:
-    kept = Kept(rigged, ready=2)
-    kept.told()
-    kept.until(lambda: kept.shown_hops() == ["tt-07"])
-    # the second connection may have taken up the first one's session, whose place may then be empty
-    before, done = rigged.streams.resumed, rigged.streams.resumed + rigged.streams.full
-    rigged.side.end(rigged.side.hops["tt-07"].idle[0], "idle")
-    assert not kept.limits.is_restart_suspected("tt-07", kept.rig.at.loop.now())
-    rigged.box.cut_all()
-    kept.until(lambda: not rigged.side.hops["tt-07"].connections)
-    assert kept.limits.is_restart_suspected("tt-07", kept.rig.at.loop.now())
-    branch = rigged.send()
-    kept.until(lambda: branch.ended is not None)
-    assert branch.ended in (Outcome.MOOT, Outcome.OK)  # by whose turn it is just now
-    kept.until(lambda: rigged.streams.resumed + rigged.streams.full > done)
-    if rigged.streams.resumed > before:  # it was no restart: its sessions are kept
-        assert not kept.limits.is_restart_suspected("tt-07", kept.rig.at.loop.now())
-    else:  # a whole handshake tells nothing of that
-        assert kept.limits.is_restart_suspected("tt-07", kept.rig.at.loop.now())
-
-
-def test_a_lack_of_room_here_is_no_fault_of_the_next_hop(rigged: Any) -> None:
-    rigged.side.max_connections = 0
-    kept = Kept(rigged)
-    kept.told()
+    limited = LimitedRig(tls_rig, ready=2)
+    limited.report()
+    limited.until(lambda: limited.published_hops() == ["tt-07"])
+    # the second connection may have resumed the first one's session, so that none may be left
+    before, done = tls_rig.streams.resumed, tls_rig.streams.resumed + tls_rig.streams.full
+    tls_rig.side.end(tls_rig.side.hops["tt-07"].idle[0], "idle")
+    assert not limited.limits.is_restart_suspected("tt-07", limited.rig.at.loop.now())
+    tls_rig.box.cut_all()
+    limited.until(lambda: not tls_rig.side.hops["tt-07"].connections)
+    assert limited.limits.is_restart_suspected("tt-07", limited.rig.at.loop.now())
+    branch = tls_rig.send()
+    limited.until(lambda: branch.ended is not None)
+    assert branch.ended in (Outcome.MOOT, Outcome.OK)  # depends on the current slot
+    limited.until(lambda: tls_rig.streams.resumed + tls_rig.streams.full > done)
+    if tls_rig.streams.resumed > before:  # a resumed session shows that it was no restart
+        assert not limited.limits.is_restart_suspected("tt-07", limited.rig.at.loop.now())
+    else:  # a full handshake shows nothing
+        assert limited.limits.is_restart_suspected("tt-07", limited.rig.at.loop.now())
+
+
+def test_a_lack_of_own_connections_is_no_failure_of_the_next_hop(tls_rig: Any) -> None:
+    tls_rig.side.max_connections = 0
+    limited = LimitedRig(tls_rig)
+    limited.report()
     for _ in range(5):
-        rigged.at.loop.call_later(0.002, int)
-        rigged.at.loop.turn()
-    assert not rigged.at.log[1:]
-    rigged.side.max_connections = 1
-    kept.until(lambda: kept.shown_hops() == ["tt-07"])
+        tls_rig.at.loop.call_later(0.002, int)
+        tls_rig.at.loop.turn()
+    assert not tls_rig.at.log[1:]
+    tls_rig.side.max_connections = 1
+    limited.until(lambda: limited.published_hops() == ["tt-07"])
 
 
-def test_a_warm_next_hops_share_is_divided_among_those_that_the_view_of_the_fleet_counts() -> None:
+def test_a_warm_next_hops_share_is_divided_among_the_known_members() -> None:
     def begun(sharers: int) -> int:
-        made, count = limits(20), 0
-        made.sharers = sharers
-        made.update_hop("s", "k", None, 0.0)
+        hop_limits, count = limits(20), 0
+        hop_limits.sharers = sharers
+        hop_limits.update_hop("s", "k", None, 0.0)
         for step in range(10_000):
-            if made.decide("s", False, step / 1000) is Decision.ALLOW:
-                made.began("s", False, step / 1000)
-                made.succeeded("s", False, False, 0.0, 0.0, step / 1000)
+            if hop_limits.decide("s", False, step / 1000) is Decision.ALLOW:
+                hop_limits.began("s", False, step / 1000)
+                hop_limits.succeeded("s", False, False, 0.0, 0.0, step / 1000)
                 count += 1
         return count
 
