--- a/standflow/fleet/messages.py
+++ b/standflow/fleet/messages.py
@@ -19,9 +19,8 @@
 NO_CURSOR = 0xFFFF  # no table sync requested
 
 _TAG = 6  # bytes
-_HEADER = struct.Struct(
-    ">BH6sHIIHH"
-)  # kind, member id, boot time, incarnation, serial, digest, about, cursor
+# kind, member id, boot time, incarnation, serial, digest, about, cursor
+_HEADER = struct.Struct(">BH6sHIIHH")
 _UPDATE = struct.Struct(">H6sHB")  # member id, boot time, incarnation, state
 _ADDRESS = struct.Struct(">4sH")
 
--- a/standflow/handshakes/limiter.py
+++ b/standflow/handshakes/limiter.py
@@ -107,7 +107,7 @@
         self.loop.call_later(0.0, self._check, hop)
 
     def rested(self, connection: Connection) -> None:
-        """A connection opened in advance is idle: publishes its next hop or replaces an old connection."""
+        """A connection opened in advance is idle: publishes its next hop, and ends one that it replaces."""
         hop = connection.hop
         if (
             len(hop.idle) >= self.min_ready
--- a/standflow/recovery/store.py
+++ b/standflow/recovery/store.py
@@ -20,7 +20,7 @@
 RECORDS_FILE, LOCK_FILE, FOREIGN_FILE = "records", "lock", "records.aside"
 MAX_SUPERSEDED_BYTES = (
     256 * 1024
-)  # of superseded lines; beyond the size of current lines the file is rewritten
+)  # in superseded lines before a rewrite, or the size of current lines if more
 RETRY_SECONDS = 1.0  # until a failed write is retried
 RETRY_ON_CLOSE_SECONDS = 0.05  # the same while the store is being closed
 EVICTED_KIND = "use"  # records of this kind are evicted when the size limit is reached
@@ -35,7 +35,7 @@
         """`max_bytes`: limit on the size of current records; `sync` flushes a descriptor to disk."""
         self.folder, self.owner, self.max_bytes, self.sync = folder, owner, max_bytes, sync
         self.log_lines: deque[str] = deque(maxlen=100)
-        self.lines: dict[tuple[str, str], bytes] = {}  # current records, oldest first
+        self.lines: dict[tuple[str, str], bytes] = {}  # current records, least recently written first
         self.live_bytes = 0  # total size of `lines`
         self.superseded_bytes = 0  # the rest of the file
         self.written = self.syncs = 0  # bytes and calls since the start
--- a/tests/test_handshakes.py
+++ b/tests/test_handshakes.py
@@ -266,9 +266,8 @@
     assert not hop_limits.is_restart_suspected("s", 1000.0)
     hop_limits.connection_lost("s", 1001.0)
     hop_limits.began("s", False, 1002.0)
-    hop_limits.succeeded(
-        "s", False, False, 0.001, 0.0, 1002.0
-    )  # no session was offered, so this shows no restart
+    # without an offered session a success shows neither a restart nor its absence
+    hop_limits.succeeded("s", False, False, 0.001, 0.0, 1002.0)
     assert hop_limits.is_restart_suspected("s", 1018.9)
     assert not hop_limits.is_restart_suspected("s", 1019.1)
 
@@ -282,9 +281,8 @@
     assert costs.cost("k", True) == 0.0005
     assert costs.cost("other", False) == 0.001
     for _ in range(MAX_SAMPLES):
-        costs.observe(
-            "k", False, 0.0028 + 0.001, 0.001, 1.0
-        )  # just below the lower step: hysteresis keeps the cost
+        # just below the lower step: hysteresis keeps the cost
+        costs.observe("k", False, 0.0028 + 0.001, 0.001, 1.0)
     assert costs.cost("k", False) == pytest.approx(0.001 * COST_STEP**4)
     for _ in range(MAX_SAMPLES):
         costs.observe("k", False, 0.0002, 0.001, 1.0)
@@ -372,9 +370,8 @@
         "a": None,
         "b": 99.0,
     }
-    visible_routes.update(
-        RouteSet(3, True, (route("a"), route("b"))), 120.0
-    )  # listed again, but not restarted
+    # listed again, but not restarted
+    visible_routes.update(RouteSet(3, True, (route("a"), route("b"))), 120.0)
     assert visible_routes.entries["b"].route.up_since == 99.0
 
 
@@ -437,10 +434,8 @@
     limited.report(up=unix_time - 0.001)
     began = limited.rig.at.loop.now()
     limited.until(lambda: limited.published_hops() == ["tt-07"] and tls_rig.box.counts.full == 1)
-    first, second = (
-        tls_rig.send(),
-        tls_rig.send(),
-    )  # one connection is ready, and there is no slot for another
+    # one connection is ready, and there is no slot for another
+    first, second = tls_rig.send(), tls_rig.send()
     limited.until(lambda: second.ended is not None)
     assert second.ended is Outcome.MOOT
     limited.until(lambda: first.ended is not None)
@@ -542,7 +537,7 @@
     limited.until(lambda: tls_rig.streams.resumed + tls_rig.streams.full > done)
     if tls_rig.streams.resumed > before:  # a resumed session shows that it was no restart
         assert not limited.limits.is_restart_suspected("tt-07", limited.rig.at.loop.now())
-    else:  # a full handshake shows nothing
+    else:  # a full handshake does not show it
         assert limited.limits.is_restart_suspected("tt-07", limited.rig.at.loop.now())
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -67,9 +67,8 @@
     assert members.until(members.agree, 10.0) < 10.0
     assert not any(membership.has_quorum() for membership in members.live.values())
     members.run(REMOVE_AFTER_SECONDS + 3.0)
-    assert not any(
-        membership.has_quorum() for membership in members.live.values()
-    )  # a minority removes nobody
+    # a minority removes nobody
+    assert not any(membership.has_quorum() for membership in members.live.values())
     for member_id in range(3, 10):
         members.start(member_id)
     assert members.until(members.agree, 5.0) < 5.0
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -138,7 +138,7 @@
         _rewrite_store(site.disk(1) / RECORDS_FILE, owner[1], 1.0, "an-earlier-boot")
         with (site.disk(2) / RECORDS_FILE).open("ab") as file:
             file.write(b'00000000 ["word","s-0",[false,9e9,0],"x",1]\nhalf a li')
-        shutil.rmtree(site.disk(3))  # lost its disk
+        shutil.rmtree(site.disk(3))  # an empty disk
         shutil.copy(site.disk(0) / RECORDS_FILE, site.disk(4) / RECORDS_FILE)  # the store of another ingress
         site.start(*range(SIZE))
         outs = [int(metric(site.live[n], "ejected")) for n in range(SIZE)]
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -318,7 +318,6 @@
     assert later.learned is None
     assert later.operator_overrides
     assert later.next_hops
-    early = select_trusted(
-        records, BootClock("b", 50.0), PLANS
-    )  # a boot's clock never goes back: nothing has passed
+    # the clock of a boot never goes back, so no time is taken to have passed
+    early = select_trusted(records, BootClock("b", 50.0), PLANS)
     assert [w.own + w.others for w in early.windows] == [12.0]
