--- a/standflow/assembly.py
+++ b/standflow/assembly.py
@@ -31,10 +31,10 @@
     from standflow.counter.ledger import Told
     from standflow.counter.witness import Witness
     from standflow.fleet.member import Member
-    from standflow.handshakes.keeper import Keeper
+    from standflow.handshakes.limiter import HandshakeLimiter
     from standflow.ops.operations import Operations
-    from standflow.recovery.keeper import Keeper as StoreKeeper
-    from standflow.recovery.trust import Trusted
+    from standflow.recovery.trust import TrustedState
+    from standflow.recovery.writer import StateStoreWriter
     from standflow.tls.streams import TlsStreams
     from standflow.upgrade.handover import Handover
 
@@ -117,12 +117,12 @@
             fetch=self._fetch,
         )
         self.exchange.decisions = self.driver
-        self.keeper = self._make_keeper()
+        self.handshake_limiter = self._make_handshake_limiter()
         self.witness = self._make_witness()
         self.asking = self._make_asking()
         self.speaks = True  # on the ring: of two processes of one ingress one alone does
         self.member: Member | None = None
-        self.found: Trusted | None = None  # in the store
+        self.found: TrustedState | None = None  # in the store
         if config.passed is None:
             self._listen_to_peers()
         with named("listen" if config.passed is None else "EDGE_PASSED_SOCKET"):
@@ -167,26 +167,30 @@
         config = self.config
         if config.fleet is None:
             return None
-        from standflow.fleet.member import Member, Parts
+        from standflow.fleet.member import Member, MemberCallbacks
         from standflow.fleet.snapshot import Snapshot
 
         def send(to: int | tuple[str, int], content: bytes) -> None:
             if self.speaks:
                 peers.tell(to, content) if isinstance(to, int) else peers.send(to, content)
 
-        def changed(snapshot: Snapshot) -> None:
+        def membership_changed(snapshot: Snapshot) -> None:
             self.driver.fleet_seen(snapshot)
-            if self.keeper is not None:
-                self.keeper.limits.sharers = len(snapshot.among)
+            if self.handshake_limiter is not None:
+                self.handshake_limiter.limits.sharers = len(snapshot.slow_start_members)
 
-        parts = Parts(send=send, filled=peers.fill, changed=changed)
+        callbacks = MemberCallbacks(
+            send=send, address_learned=peers.fill, membership_changed=membership_changed
+        )
         settings, chance = config.settings, random.Random(config.seed + 2)
         fleet, places = config.fleet, (settings.number, settings.gateways)
-        member = Member(self.loop, self.log, fleet.name, *places, peers.address, fleet.seeds, chance, parts)
+        member = Member(
+            self.loop, self.log, fleet.name, *places, peers.address, fleet.seeds, chance, callbacks
+        )
         if self.found is not None:
-            member.remember(self.found.members)
-        peers.of_view, peers.heard = member.hear, member.ring
-        member.speaks = self.speaks
+            member.restore_members(self.found.members)
+        peers.of_view, peers.heard = member.receive, member.note_ring_datagram
+        member.is_active = self.speaks
         return member
 
     def _make_handover(self) -> Handover | None:
@@ -213,59 +217,59 @@
         )
         return Handover(self.loop, self.log, self.config.folder, self.config.name, parts)
 
-    def _make_store(self) -> StoreKeeper | None:
+    def _make_store(self) -> StateStoreWriter | None:
         """What outlives a power loss, where the operator's file has a place for it."""
         config = self.config
         if config.store is None:
             return None
-        from standflow.recovery.keeper import Keeper, Parts
         from standflow.recovery.records import identity
         from standflow.recovery.store import Store
+        from standflow.recovery.writer import StateStoreWriter, WriterCallbacks
 
         driver, clients, ops = self.driver, self.clients, self.ops
         fleet = "" if config.fleet is None else config.fleet.name
         whose = identity(config.name, config.settings.number, fleet)
 
-        def words() -> dict[str, list[Any]] | None:
+        def operator_overrides() -> dict[str, list[Any]] | None:
             return (
                 None
                 if ops is None
                 else {hop: [one.out, one.at, one.went] for hop, one in ops.overlay.words.items()}
             )
 
-        parts = Parts(
-            used=driver.used,
-            refill=lambda windows: driver.refill(
+        callbacks = WriterCallbacks(
+            used_windows=driver.used,
+            refill_windows=lambda windows: driver.refill(
                 [[w.key, w.plan, w.first, w.size, w.own, w.others] for w in windows]
             ),
-            learnt=driver.learnt,
-            learn=driver.learn,
+            learned=driver.learnt,
+            restore_learned=driver.learn,
             routes=lambda: [write_route(route) for route in self._as_told()],
-            words=words,
-            emptied=lambda: (clients.evacuated, clients.evacuated_at),
+            operator_overrides=operator_overrides,
+            evacuation=lambda: (clients.evacuated, clients.evacuated_at),
             members=lambda: None if self.member is None else self.member.counted_members(),
         )
         store = Store(config.store.folder, whose, config.store.most)
-        return Keeper(self.loop, self.log, store, config.store.every, parts)
+        return StateStoreWriter(self.loop, self.log, store, config.store.every, callbacks)
 
-    def _trusted(self) -> Trusted | None:
+    def _trusted(self) -> TrustedState | None:
         """What the store says, and of it what operators said is in force."""
         if self.store is None:
             return None
         from standflow.recovery.trust import Plan
 
         plans = {plan.name: Plan(plan.burst, plan.rate) for plan in self.config.settings.plans}
-        found = self.store.begin(plans)
+        found = self.store.load(plans)
         if self.ops is not None:
             from standflow.ops.overlay import Word
 
-            for hop, (out, at, went) in found.words.items():
+            for hop, (out, at, went) in found.operator_overrides.items():
                 self.ops.overlay.hear(hop, Word(out, at, went))
-        if found.emptied is not None:
-            self.clients.evacuate(*found.emptied)
+        if found.evacuation is not None:
+            self.clients.evacuate(*found.evacuation)
         self.found = found
         if self.member is not None:
-            self.member.remember(found.members)
+            self.member.restore_members(found.members)
         return found
 
     def _as_told(self) -> list[Route]:
@@ -284,7 +288,7 @@
     def _speak(self, wanted: bool) -> None:
         self.speaks = wanted
         if self.member is not None:
-            self.member.speaks = wanted
+            self.member.is_active = wanted
 
     def _crowd(self, another: bool) -> None:
         """Two processes of one ingress have its descriptors and its memory between them."""
@@ -325,8 +329,8 @@
             evacuated=lambda: self.clients.evacuated,
             evacuate=self.clients.evacuate,
             show=self._laid_over,
-            fleet=lambda: None if self.member is None else self.member.figures(),
-            recovery=lambda: None if self.store is None else self.store.figures(),
+            fleet=lambda: None if self.member is None else self.member.metrics(),
+            recovery=lambda: None if self.store is None else self.store.metrics(),
             noted=self._noted,
         )
         with named("ops"):
@@ -337,7 +341,7 @@
         if self.handover is not None:
             self.handover.write()
         if self.store is not None:
-            self.store.note()
+            self.store.write_operator_records()
 
     def _make_tls(self) -> TlsStreams | None:
         """Nothing of TLS is imported where the operator's file has no block for it."""
@@ -353,22 +357,26 @@
         except MaterialError as error:
             raise ConfigError(f"tls: {error}") from None
 
-    def _make_keeper(self) -> Keeper | None:
+    def _make_handshake_limiter(self) -> HandshakeLimiter | None:
         """The limits on handshakes, where they are in force."""
         options, settings, tls = self.config.handshakes, self.config.settings, self.tls
         if options is None:
             return None
-        from standflow.handshakes.keeper import Keeper
+        from standflow.handshakes.limiter import HandshakeLimiter
         from standflow.handshakes.limits import Limits
-        from standflow.handshakes.turns import Warming
+        from standflow.handshakes.time_slots import WarmUp
 
-        warming = Warming(settings.cold_from, settings.cold_time)
+        warm_up = WarmUp(settings.cold_from, settings.cold_time)
         chance = random.Random(self.config.seed + 1)
-        limits = Limits(options, warming, settings.gateways, settings.number, chance, self.driver.offset)
-        keeper = Keeper(self.loop, self.log, limits, self.next_hops, self._show, options.ready)
+        limits = Limits(options, warm_up, settings.gateways, settings.number, chance, self.driver.offset)
+        limiter = HandshakeLimiter(self.loop, self.log, limits, self.next_hops, self._show, options.ready)
         if tls is not None:
-            keeper.resumable, keeper.forget, tls.changed = tls.resumable, tls.forget, keeper.replace
-        return keeper
+            limiter.resumable, limiter.forget, tls.changed = (
+                tls.resumable,
+                tls.forget,
+                limiter.replace_connections,
+            )
+        return limiter
 
     def _make_witness(self) -> Witness | None:
         """The counter beside the ring, where it is switched on."""
@@ -408,32 +416,32 @@
     def start(self) -> None:
         """Begins to serve: the saved list first, then discovery's word, then the callers."""
         known, found = self.config.known, self._trusted()
-        if found is not None and found.hops and self.routes is not None:
+        if found is not None and found.next_hops and self.routes is not None:
             # candidates until discovery speaks; of it the whole list is asked for, whatever its revision is
-            raw = {"revision": 0, "complete": True, "members": found.hops}
+            raw = {"revision": 0, "complete": True, "members": found.next_hops}
             known = read_routes(raw, self.config.zones, self.log)
             self.routes.revision = None
         if self.ops is not None and known is not None:
             known = self.ops.overlay.told(known)
-        if self.keeper is not None:
+        if self.handshake_limiter is not None:
             self.driver.start(None)
             if known is not None:
-                self.keeper.routes_told(known)
+                self.handshake_limiter.update_routes(known)
         else:
             if known is not None:
                 self.next_hops.routes_told(known)
             self.driver.start(known)
         if found is not None and self.store is not None:
-            self.store.parts.refill(found.windows)
-            if found.learnt is not None:
+            self.store.callbacks.refill_windows(found.windows)
+            if found.learned is not None:
                 try:
-                    self.store.parts.learn(found.learnt)
+                    self.store.callbacks.restore_learned(found.learned)
                 except (KeyError, TypeError, ValueError, AttributeError) as error:
                     self.log(f"store: what was learnt is passed over: {error!r}")
             self.store.start(found)
         if self.routes is not None:
             self.routes.connect()
-        at_once = self.routes is None and self.keeper is None
+        at_once = self.routes is None and self.handshake_limiter is None
         self.loop.call_later(0.0 if at_once else READY_AT_LATEST, self._ready)
         self.loop.call_later(EVERY * random.Random(self.config.seed).random(), self.tally.serve)
 
@@ -460,15 +468,15 @@
 
     def _laid_over(self, routes: RouteSet) -> None:
         """Takes in the route set as operators left it."""
-        if self.keeper is not None:
-            self.keeper.routes_told(routes)
+        if self.handshake_limiter is not None:
+            self.handshake_limiter.update_routes(routes)
             return
         self.next_hops.routes_told(routes)
         self.driver.routes_told(routes)
         self._ready()
 
     def _show(self, routes: RouteSet) -> None:
-        """What the keeper lets the driver know."""
+        """What the handshake limiter lets the driver know."""
         self.driver.routes_told(routes)
         if routes.routes:
             self._ready()
--- a/standflow/fleet/member.py
+++ b/standflow/fleet/member.py
@@ -1,4 +1,4 @@
-"""Carries a member's decisions out: its datagrams, clock and log lines, and what the module is told."""
+"""Runs the membership: its datagrams, timer and log lines, and reports to the decision module."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from typing import Any
 
 from standflow.fleet.membership import MemberSettings, Membership
-from standflow.fleet.messages import MAGIC, Address, State, decode, encode, key_of, updates_per_datagram
+from standflow.fleet.messages import MAGIC, Address, State, decode, derive_key, encode, updates_per_datagram
 from standflow.fleet.outbox import Send
 from standflow.fleet.own_member import Change
 from standflow.fleet.snapshot import Snapshot
@@ -17,28 +17,28 @@
 
 
 @dataclass(slots=True)
-class Parts:
-    """What the membership asks of the ingress."""
+class MemberCallbacks:
+    """The ingress functions that a Member calls."""
 
-    send: Callable[[int | Address, bytes], None]  # to a member, or to an address whose member is not known
-    filled: Callable[[int, Address], None]  # a member's address, where none is listed
-    changed: Callable[[Snapshot], None]  # with what follows, each time it is another
+    send: Callable[[int | Address, bytes], None]  # to a member, or to an address whose member id is unknown
+    address_learned: Callable[[int, Address], None]  # where the settings do not list addresses
+    membership_changed: Callable[[Snapshot], None]  # called only with a snapshot that differs
 
 
 @dataclass(slots=True, frozen=True)
-class Figures:
-    """What operators are shown."""
+class MemberMetrics:
+    """The metrics `fleet.*` that operators fetch."""
 
     present: int
     suspected: int
-    settled_ms: int  # since the last change of who is there
+    settled_ms: int  # since a member last joined, failed or left
     sent: int
     taken: int
-    dropped: int  # garbled, of another fleet, of an earlier start, or more than is taken in
+    dropped: int  # corrupted, from another fleet, from an earlier process, or above the receive limit
 
 
 class Member:
-    """One ingress as a member. `speak` is false while another process of it is the member."""
+    """One ingress as a member. `is_active` is False while another process of the ingress is the member."""
 
     def __init__(
         self,
@@ -49,96 +49,96 @@
         size: int,
         address: Address,
         seeds: tuple[Address, ...],
-        chance: random.Random,
-        parts: Parts,
+        rng: random.Random,
+        callbacks: MemberCallbacks,
     ) -> None:
-        """`seeds`: some to join by, where the members' addresses are not listed; else none."""
-        self.loop, self.log, self.parts = loop, log, parts
-        self.key, self.addresses = key_of(fleet), bool(seeds)
+        """`seeds`: addresses to join by; given only where the settings do not list all addresses."""
+        self.loop, self.log, self.callbacks = loop, log, callbacks
+        self.key, self.with_addresses = derive_key(fleet), bool(seeds)
         boot_time_ms = round(time.time() * 1000)
         settings = MemberSettings(
             member_id,
             size,
             boot_time_ms,
-            updates_per_datagram(self.addresses),
+            updates_per_datagram(self.with_addresses),
             listed=not seeds,
             address=address if seeds else None,
             seeds=tuple(seed for seed in seeds if seed != address),
         )
-        self.membership = Membership(settings, loop.now(), chance)
-        self.reported: Snapshot | None = None
-        self.reported_at: tuple[int, ...] | None = None  # the revision of that
-        self.speaks = True
-        self.spoiled = 0  # datagrams of another fleet, or garbled
+        self.membership = Membership(settings, loop.now(), rng)
+        self.last_snapshot: Snapshot | None = None
+        self.reported_revision: tuple[int, ...] | None = None
+        self.is_active = True
+        self.undecodable = 0  # datagrams that are corrupted or from another fleet
         self.closed = False
         log(f"fleet: this is place {member_id} of {size} in {fleet}")
-        loop.every(lambda: self.membership.pace, self._tick)
+        loop.every(lambda: self.membership.tick_interval, self._tick)
 
-    def hear(self, content: bytes, sender: Address) -> bool:
-        """True for a datagram that looks like a membership's, sound or not; the ring's are none of it."""
+    def receive(self, content: bytes, sender: Address) -> bool:
+        """Processes a datagram; False if it is not a membership datagram but one of the ring."""
         if not content.startswith(MAGIC):
             return False
         message = decode(content, self.key)
         if message is None:
-            self.spoiled += 1
-        elif self.speaks:
-            self._carry(self.membership.hear(self.loop.now(), message, sender))
+            self.undecodable += 1
+        elif self.is_active:
+            self._execute(self.membership.receive(self.loop.now(), message, sender))
         return True
 
-    def ring(self, member_id: int) -> None:
-        """A datagram of the ring came from there."""
-        self.membership.ring(self.loop.now(), member_id)
+    def note_ring_datagram(self, member_id: int) -> None:
+        """Records that a ring datagram from a member arrived."""
+        self.membership.note_ring_datagram(self.loop.now(), member_id)
 
     def counted_members(self) -> dict[str, list[Any]] | None:
-        """The others that count in the fleet, for the next start: by member id, boot times and addresses.
+        """The other members that count for the quorum, to be stored for the next start.
 
-        None while who is there is not known yet.
+        By member id, each with boot time, host and port. None while the membership is not known yet.
         """
-        if self.reported is None:
+        if self.last_snapshot is None:
             return None
         return {
             str(update.member_id): [update.boot_time_ms, *(update.address or ("", 0))]
             for update in self.membership.counted_updates()
         }
 
-    def remember(self, members: dict[str, list[Any]]) -> None:
-        """What the process before kept of it."""
+    def restore_members(self, members: dict[str, list[Any]]) -> None:
+        """Restores the members that the previous process stored."""
         known = {
             int(n): (int(boot_time_ms), (host, port) if host else None)
             for n, (boot_time_ms, host, port) in members.items()
         }
-        self.membership.remember(known)
+        self.membership.restore_members(known)
         if known:
-            self.log(f"fleet: {sorted(known)} were there in an earlier life: asked, and missing until heard")
+            self.log(f"fleet: {sorted(known)} known in an earlier life: unreachable until a datagram arrives")
 
     def leave(self) -> None:
-        """The ingress ends in order: the others are told, and miss nobody."""
-        if self.speaks:
-            self._carry(self.membership.leave())
+        """Announces the orderly shutdown of the ingress, so that the others do not count it as failed."""
+        if self.is_active:
+            self._execute(self.membership.leave())
 
     def close(self) -> None:
-        """Ends it."""
+        """Stops the timer's work."""
         self.closed = True
 
-    def figures(self) -> Figures:
-        """Of now."""
+    def metrics(self) -> MemberMetrics:
+        """The current metrics."""
         membership = self.membership
         states = [update.state for update in membership.table.updates.values()]
-        return Figures(
+        return MemberMetrics(
             present=len(membership.table.alive),
             suspected=states.count(State.SUSPECTED),
             settled_ms=round((self.loop.now() - membership.changed_at) * 1000),
             sent=membership.outbox.sent,
             taken=membership.counts.taken,
-            dropped=self.spoiled + membership.counts.dropped,
+            dropped=self.undecodable + membership.counts.dropped,
         )
 
     def _tick(self) -> None:
-        if self.speaks and not self.closed:
-            self._carry(self.membership.tick(self.loop.now()))
+        if self.is_active and not self.closed:
+            self._execute(self.membership.tick(self.loop.now()))
 
-    def _carry(self, sends: list[Send]) -> None:
-        """Carries out what an event led to: datagrams, log lines, and what the module is told."""
+    def _execute(self, sends: list[Send]) -> None:
+        """Carries out the results of an event: datagrams, log lines and the report to the module."""
         for send in sends:
             self._send(send)
         for change in self.membership.changes:
@@ -148,33 +148,38 @@
 
     def _send(self, send: Send) -> None:
         to: int | Address | None = send.to
-        if isinstance(to, int) and self.addresses:
+        if isinstance(to, int) and self.with_addresses:
             to = self._address(to)
         if to is not None:
-            self.parts.send(to, encode(send.message, self.key, self.addresses))
+            self.callbacks.send(to, encode(send.message, self.key, self.with_addresses))
 
     def _log_change(self, change: Change) -> None:
         count = len(self.membership.table.alive)
-        became = f"{change.before} -> {change.after} ({change.why})"
+        became = f"{change.before} -> {change.after} ({change.reason})"
         self.log(f"fleet: place {change.member_id}: {became}, {count} present")
         address = self._address(change.member_id)
-        if self.addresses and address is not None:
-            self.parts.filled(change.member_id, address)
+        if self.with_addresses and address is not None:
+            self.callbacks.address_learned(change.member_id, address)
 
     def _address(self, member_id: int) -> Address | None:
         update = self.membership.table.updates.get(member_id)
         return None if update is None else update.address
 
     def _report(self) -> None:
-        """Tells the module of a snapshot that differs from the last one."""
+        """Reports a snapshot that differs from the last one to the module."""
         membership, revision = self.membership, self.membership.revision
-        if membership.waiting or revision == self.reported_at or not membership.joined or membership.left:
+        if (
+            membership.waiting
+            or revision == self.reported_revision
+            or not membership.joined
+            or membership.left
+        ):
             return
-        self.reported_at, snapshot = revision, membership.take_snapshot()
-        if snapshot == self.reported:
+        self.reported_revision, snapshot = revision, membership.take_snapshot()
+        if snapshot == self.last_snapshot:
             return
-        if self.reported is not None and snapshot.has_quorum != self.reported.has_quorum:
+        if self.last_snapshot is not None and snapshot.has_quorum != self.last_snapshot.has_quorum:
             may = "may" if snapshot.has_quorum else "may not"
-            self.log(f"fleet: {may} take over for {sorted(snapshot.missing)}")
-        self.reported = snapshot
-        self.parts.changed(snapshot)
+            self.log(f"fleet: {may} take over for {sorted(snapshot.unreachable)}")
+        self.last_snapshot = snapshot
+        self.callbacks.membership_changed(snapshot)
