--- a/lab/bench_counter.py
+++ b/lab/bench_counter.py
@@ -364,10 +364,10 @@
         for action in gateway.handle(now, i.TimerFired(0)):
             if isinstance(action, i.UseNoted):
                 a = action
-                ledger.noted(a.key, a.size, a.place, a.count, a.level, a.fullness, now)
-        ledger.due(now, 25, 0.3)
+                ledger.record_use(a.key, a.size, a.place, a.count, a.level, a.fullness, now)
+        ledger.due_calls(now, 25, 0.3)
         worst = max(worst, time.process_time() - began)
-    return resident() - before, worst, len(ledger.customers)
+    return resident() - before, worst, len(ledger.tenants)
 
 
 def resident() -> float:
--- a/standflow/assembly.py
+++ b/standflow/assembly.py
@@ -27,9 +27,9 @@
 from standflow.tally import EVERY, Tally
 
 if TYPE_CHECKING:
-    from standflow.counter.asking import Asking
-    from standflow.counter.ledger import Told
-    from standflow.counter.witness import Witness
+    from standflow.counter.ledger import RegisterReading
+    from standflow.counter.quota_calls import QuotaCalls
+    from standflow.counter.reconciliation import CounterReconciliation
     from standflow.fleet.member import Member
     from standflow.handshakes.keeper import Keeper
     from standflow.ops.operations import Operations
@@ -118,8 +118,8 @@
         )
         self.exchange.decisions = self.driver
         self.keeper = self._make_keeper()
-        self.witness = self._make_witness()
-        self.asking = self._make_asking()
+        self.reconciliation = self._make_reconciliation()
+        self.quota_calls = self._make_quota_calls()
         self.speaks = True  # on the ring: of two processes of one ingress one alone does
         self.member: Member | None = None
         self.found: Trusted | None = None  # in the store
@@ -295,10 +295,10 @@
         self.clients.values.budget = config.max_values // part
 
     def _make_reloading(self) -> Reloading:
-        routes, tls, calls = self.routes, self.tls, self.witness or self.asking
+        routes, tls, calls = self.routes, self.tls, self.reconciliation or self.quota_calls
         parts = ReloadParts(
             move_discovery=None if routes is None else routes.move,
-            move_counter=None if calls is None else calls.client.move,
+            move_counter=None if calls is None else calls.client.switch_address,
             reload_tls=None if tls is None else tls.reload,
         )
         return Reloading(self.loop, self.log, self.config, self.exchange, self.driver, parts)
@@ -370,15 +370,15 @@
             keeper.resumable, keeper.forget, tls.changed = tls.resumable, tls.forget, keeper.replace
         return keeper
 
-    def _make_witness(self) -> Witness | None:
+    def _make_reconciliation(self) -> CounterReconciliation | None:
         """The counter beside the ring, where it is switched on."""
         options, counter = self.config.witness, self.config.counter
         if options is None or counter is None:
             return None
         from standflow.counter.modes import Modes
-        from standflow.counter.witness import Witness
+        from standflow.counter.reconciliation import CounterReconciliation
 
-        witness = Witness(
+        reconciliation = CounterReconciliation(
             self.loop,
             self.log,
             options,
@@ -387,23 +387,23 @@
             Modes(self.driver.module.epoch, self.loop.now()),
             self.driver.heard,
         )
-        self.driver.noted = witness.noted
-        return witness
+        self.driver.noted = reconciliation.record_use
+        return reconciliation
 
-    def _make_asking(self) -> Asking | None:
+    def _make_quota_calls(self) -> QuotaCalls | None:
         """The counter in the ring's place, where settings allow calls of it and no word to peers."""
         settings, counter = self.config.settings, self.config.counter
         if counter is None or not self.driver.module.counting:
             return None
-        from standflow.counter.asking import Asking
+        from standflow.counter.quota_calls import QuotaCalls
 
         limit, tell = settings.count_limit, self.driver.counted
-        asking = Asking(self.loop, self.log, counter, limit, tell, self.tally)
-        self.driver.count = asking.count
-        return asking
+        quota_calls = QuotaCalls(self.loop, self.log, counter, limit, tell, self.tally)
+        self.driver.count = quota_calls.count
+        return quota_calls
 
-    def _use_told(self, told: Told) -> None:
-        self.driver.use_told(told.key, told.place, told.count, told.level)
+    def _use_told(self, told: RegisterReading) -> None:
+        self.driver.use_told(told.key, told.ring_index, told.count, told.level)
 
     def start(self) -> None:
         """Begins to serve: the saved list first, then discovery's word, then the callers."""
@@ -495,7 +495,7 @@
         """Ends every connection; each leaves its line in the log."""
         parts = (
             *(self.clients, self.next_hops, self.ops, self.handover, self.store),
-            *(self.witness, self.asking, self.member, self.routes),
+            *(self.reconciliation, self.quota_calls, self.member, self.routes),
         )
         closes = [part.close for part in parts if part is not None]
         last_counts = [] if self.tls is None else [self.tls.tell_counts]
--- a/standflow/config/model.py
+++ b/standflow/config/model.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class WitnessOptions:
+class ReconciliationOptions:
     """The block `witness` of the operator's file."""
 
     calls: float  # a second, from this ingress at most
@@ -116,7 +116,7 @@
     longest_deadline: float
     tls: TlsOptions | None = None
     handshakes: HandshakeOptions | None = None
-    witness: WitnessOptions | None = None
+    witness: ReconciliationOptions | None = None
     fleet: FleetOptions | None = None
     store: StoreOptions | None = None
     keys: Any = None  # of the platform's JSON, as reload.shape has them
--- a/standflow/config/operators.py
+++ b/standflow/config/operators.py
@@ -21,9 +21,9 @@
     FleetOptions,
     HandshakeOptions,
     NameRule,
+    ReconciliationOptions,
     StoreOptions,
     TlsOptions,
-    WitnessOptions,
 )
 from standflow.config.platform import of_process
 from standflow.config.platform import parse as parse_platform
@@ -296,8 +296,8 @@
     )
 
 
-def _witness(block: Block) -> WitnessOptions:
-    return WitnessOptions(block.value("calls"), block.value("every"), block.value("near"))
+def _witness(block: Block) -> ReconciliationOptions:
+    return ReconciliationOptions(block.value("calls"), block.value("every"), block.value("near"))
 
 
 # What no single directive can tell.
--- a/standflow/counter/client.py
+++ b/standflow/counter/client.py
@@ -37,26 +37,26 @@
 TOTAL = re.compile(rb"-?\d{1,20}(\.\d{1,20})?([eE][-+]?\d{1,3})?")
 
 
-class How(Enum):
+class CallEffect(Enum):
     """What is known of a call's effect."""
 
     ADDED = "added"
-    NOTHING = "nothing"  # surely not added
+    NOT_ADDED = "nothing"  # surely not added
     UNCERTAIN = "uncertain"  # it may have been added, or may yet be
 
 
 @dataclass(slots=True, frozen=True)
-class Counted:
+class CallResult:
     """How a call ended. `total`: None where the counter gave none that can be read; `took`: seconds."""
 
-    how: How
+    effect: CallEffect
     total: float | None
     took: float
     full: bool = False  # turned away: the counter has too much to do
     late: bool = False  # settles a call that was told as uncertain
 
 
-Ended = Callable[[Counted], None]
+Ended = Callable[[CallResult], None]
 
 
 class Call:
@@ -79,7 +79,7 @@
         "status", "task", "unwritten", "up",
     )  # fmt: skip
 
-    def __init__(self, client: Client, sock: socket.socket) -> None:
+    def __init__(self, client: CounterClient, sock: socket.socket) -> None:
         self.client, self.sock = client, sock
         self.calls: deque[Call] = deque()  # written or being written, the oldest first
         self.unwritten: deque[Call] = deque()
@@ -179,12 +179,12 @@
         call, status = self.calls.popleft(), self.status
         if status == 200:
             total = read_total(bytes(self.body))
-            self.client.settle(call, How.ADDED, total)
+            self.client.settle(call, CallEffect.ADDED, total)
             return "" if total is not None else "bad_total"
         if status in (400, 404, 503):
-            self.client.settle(call, How.NOTHING, None, full=status == 503)
+            self.client.settle(call, CallEffect.NOT_ADDED, None, full=status == 503)
             return ""
-        self.client.settle(call, How.UNCERTAIN, None)
+        self.client.settle(call, CallEffect.UNCERTAIN, None)
         return f"status:{status}"
 
     def push(self) -> None:
@@ -203,7 +203,7 @@
         self.mask = IN | OUT if self.out else IN
 
 
-class Client:
+class CounterClient:
     """The counter at one address, which may move."""
 
     def __init__(
@@ -228,7 +228,7 @@
         call.timer = self.loop.call_later(self.limit, self._late, call)
         connection = self._connection()
         if connection is None:
-            self.loop.call_later(0.0, self.settle, call, How.NOTHING, None)
+            self.loop.call_later(0.0, self.settle, call, CallEffect.NOT_ADDED, None)
             return
         connection.unwritten.append(call)
         if connection.up:
@@ -241,7 +241,7 @@
             if connection.task is not None:
                 self.loop.watch(connection.task, connection.mask)
 
-    def move(self, address: tuple[str, int]) -> None:
+    def switch_address(self, address: tuple[str, int]) -> None:
         """Another counter answers from now on; what is open at the one before ends as its bytes say."""
         self.address = address
         for connection in list(self.connections):
@@ -253,13 +253,13 @@
             connection.reason = "shutdown"
             self._end(connection)
 
-    def settle(self, call: Call, how: How, total: float | None, full: bool = False) -> None:
+    def settle(self, call: Call, how: CallEffect, total: float | None, full: bool = False) -> None:
         """Tells a call's end, or what came of it after all."""
         late, call.settled = call.settled, True
         if call.timer is not None:
             call.timer.cancel()
-        if not (late and how is How.UNCERTAIN):
-            call.ended(Counted(how, total, self.loop.now() - call.began, full, late))
+        if not (late and how is CallEffect.UNCERTAIN):
+            call.ended(CallResult(how, total, self.loop.now() - call.began, full, late))
 
     def closed(self, connection: Connection) -> None:
         """The end of a connection: its one log line, and its calls' ends."""
@@ -269,14 +269,14 @@
         left = [*connection.calls, *connection.unwritten]
         if connection.open and connection.status == 200 and connection.calls:
             # It has said that it was added; only the total never came.
-            self.settle(connection.calls[0], How.ADDED, None)
+            self.settle(connection.calls[0], CallEffect.ADDED, None)
         age = self.loop.now() - connection.made
         self.log(f"end counter {connection.reason} open={len(left)} age={age:.2f}")
         if left:
             self.depth = max(1, self.depth // 2)
         for call in left:
             if not call.settled:
-                self.settle(call, How.UNCERTAIN if call.whole else How.NOTHING, None)
+                self.settle(call, CallEffect.UNCERTAIN if call.whole else CallEffect.NOT_ADDED, None)
 
     def _late(self, call: Call) -> None:
         """The time is up: what was not written whole has had no effect, and never will."""
@@ -285,13 +285,13 @@
         for connection in self.connections:
             if call in connection.unwritten:
                 connection.unwritten.remove(call)
-                self.settle(call, How.NOTHING, None)
+                self.settle(call, CallEffect.NOT_ADDED, None)
                 return
             if call in connection.calls and not call.whole:
                 connection.reason = "stuck"
                 self._end(connection)
                 return
-        self.settle(call, How.UNCERTAIN, None)
+        self.settle(call, CallEffect.UNCERTAIN, None)
 
     def _connection(self) -> Connection | None:
         """The one with the fewest calls open; a new one where all have many, or have fallen silent."""
--- a/standflow/counter/ledger.py
+++ b/standflow/counter/ledger.py
@@ -36,7 +36,7 @@
     """How a call ended."""
 
     ADDED = "added"
-    NOTHING = "nothing"
+    NOT_ADDED = "nothing"
     UNCERTAIN = "uncertain"
 
 
@@ -45,22 +45,22 @@
     """An amount for a name; 0 only reads it. `place` is the ring place whose register it is."""
 
     key: bytes
-    place: int
+    ring_index: int
     period: int
     amount: int
 
     @property
     def name(self) -> str:
         """The counter's name for it."""
-        return f"q{self.period}.{self.key.hex()}.{self.place}"
+        return f"q{self.period}.{self.key.hex()}.{self.ring_index}"
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class RegisterReading:
     """What a register says: the running count of a place, and its level as a part of the burst."""
 
     key: bytes
-    place: int
+    ring_index: int
     count: int
     level: float
 
@@ -88,7 +88,7 @@
     """One customer's registers, as far as they are known here."""
 
     size: int
-    place: int
+    ring_index: int
     fullness: float
     news: float  # when it was noted or read last
     own: Own
@@ -101,47 +101,47 @@
     """The registers of all customers."""
 
     def __init__(self) -> None:
-        self.customers: dict[bytes, Customer] = {}
+        self.tenants: dict[bytes, Customer] = {}
         self.emptied = 0  # times that a register had fallen behind what it surely held
         self.excess = 0  # times that one held more than was ever wanted
 
-    def noted(
+    def record_use(
         self, key: bytes, size: int, place: int, count: int, level: float, fullness: float, now: float
     ) -> None:
         """This ingress's running count and level of a customer; `fullness` is what all use of its burst."""
         wanted = encode(count, level)
-        customer = self.customers.get(key)
+        customer = self.tenants.get(key)
         if customer is None:
             own = Own(period_of(now), wanted)
-            self.customers[key] = Customer(size, place, fullness, now, own, {}, {}, now - FIRST_TURN)
+            self.tenants[key] = Customer(size, place, fullness, now, own, {}, {}, now - FIRST_TURN)
             return
         customer.fullness, customer.news, customer.own.wanted = fullness, now, wanted
 
-    def due(self, now: float, budget: int, near: float) -> list[Call]:
+    def due_calls(self, now: float, budget: int, near: float) -> list[Call]:
         """The calls to make now, `budget` at most, for customers that use `near` of their burst or more.
 
         The fullest and the longest waiting come first, by the product of both; of one customer its own
         register, then the others', the longest unread first.
         """
         calls: list[Call] = []
-        known = [(c, key) for key, c in self.customers.items() if c.fullness >= near]
+        known = [(c, key) for key, c in self.tenants.items() if c.fullness >= near]
         wanted = [(c.fullness * (now - c.turn), key) for c, key in known]
         for _, key in sorted(wanted, reverse=True):
             if len(calls) >= budget:
                 break
             if more := self._calls(key, now):
-                self.customers[key].turn = now
+                self.tenants[key].turn = now
             calls.extend(more[: budget - len(calls)])
         for call in calls:
-            customer = self.customers[call.key]
-            if call.place == customer.place:
+            customer = self.tenants[call.key]
+            if call.ring_index == customer.ring_index:
                 customer.own.calling = True
             else:
-                customer.reading[call.place] = now
+                customer.reading[call.ring_index] = now
         return calls
 
     def _calls(self, key: bytes, now: float) -> list[Call]:
-        customer = self.customers[key]
+        customer = self.tenants[key]
         own, period = customer.own, period_of(now)
         if own.period != period and not own.calling:
             customer.own = own = Own(period, own.wanted)  # a new name: nothing of it is known yet
@@ -149,32 +149,32 @@
         if own.period == period and not own.calling and now >= own.after and own.behind(now):
             # What is not known is read first: to add on a guess could count it twice.
             amount = own.wanted - own.held if own.held is not None else 0
-            calls.append(Call(key, customer.place, period, amount))
+            calls.append(Call(key, customer.ring_index, period, amount))
         young = now - period * PERIOD < YOUNG
-        others = [place for place in range(customer.size) if place != customer.place]
+        others = [place for place in range(customer.size) if place != customer.ring_index]
         for place in sorted(others, key=lambda one: customer.read_at.get(one, -math.inf)):
             if place not in customer.reading:
                 calls.append(Call(key, place, period - young, 0))
         return calls
 
-    def ended(self, call: Call, end: End, total: float | None, now: float) -> Told | None:
+    def ended(self, call: Call, end: End, total: float | None, now: float) -> RegisterReading | None:
         """How a call ended; what it tells of its register, if it tells anything."""
-        customer = self.customers.get(call.key)
+        customer = self.tenants.get(call.key)
         if customer is None:
             return None
-        if call.place != customer.place:
-            customer.reading.pop(call.place, None)
+        if call.ring_index != customer.ring_index:
+            customer.reading.pop(call.ring_index, None)
             if end is not End.ADDED or total is None:
                 return None
-            customer.read_at[call.place] = customer.news = now
-            return decode(call.key, call.place, total)
+            customer.read_at[call.ring_index] = customer.news = now
+            return decode(call.key, call.ring_index, total)
         own = customer.own
         own.calling = False
         if own.period != call.period:
             return None
         if end is End.ADDED and total is not None:
             return self._own_told(customer, call, round(total), now)
-        if end is End.NOTHING:
+        if end is End.NOT_ADDED:
             return None
         # It may have been added, or may yet be: the next call reads, once it has surely had its turn.
         own.held = None
@@ -182,7 +182,7 @@
         own.after = now + SETTLE
         return None
 
-    def _own_told(self, customer: Customer, call: Call, total: int, now: float) -> Told | None:
+    def _own_told(self, customer: Customer, call: Call, total: int, now: float) -> RegisterReading | None:
         own = customer.own
         if own.held is not None and total < own.held + call.amount:
             self.emptied += 1
@@ -192,17 +192,17 @@
         own.held = own.least = own.most = total
         own.seen = now
         # What stands there before this life has written anything is an earlier life's.
-        return decode(call.key, call.place, total) if first and total > 0 else None
+        return decode(call.key, call.ring_index, total) if first and total > 0 else None
 
     def uncertain(self, key: bytes) -> tuple[int, int]:
         """The least and the most that this ingress's register holds now."""
-        own = self.customers[key].own
+        own = self.tenants[key].own
         return (own.least, own.most) if own.held is None else (own.held, own.held)
 
     def forget(self, now: float) -> None:
         """Drops customers without news."""
-        for key in [key for key, customer in self.customers.items() if now - customer.news > FORGET]:
-            del self.customers[key]
+        for key in [key for key, customer in self.tenants.items() if now - customer.news > FORGET]:
+            del self.tenants[key]
 
 
 def encode(count: int, level: float) -> int:
@@ -210,12 +210,12 @@
     return (count % COUNTS) * (LEVELS + 1) + min(LEVELS, max(0, round(level * LEVELS)))
 
 
-def decode(key: bytes, place: int, total: float) -> Told | None:
+def decode(key: bytes, place: int, total: float) -> RegisterReading | None:
     """What a total says, or None where no register holds such a number."""
     number = round(total)
     if not 0 < number < COUNTS * (LEVELS + 1):
         return None
-    return Told(key, place, number // (LEVELS + 1), number % (LEVELS + 1) / LEVELS)
+    return RegisterReading(key, place, number // (LEVELS + 1), number % (LEVELS + 1) / LEVELS)
 
 
 def period_of(now: float) -> int:
--- a/standflow/counter/asking.py
+++ b/standflow/counter/quota_calls.py
@@ -8,7 +8,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from standflow.counter.client import Client, Counted, How
+from standflow.counter.client import CallEffect, CallResult, CounterClient
 from standflow.exchange import Outcome
 from standflow.net.loop import Loop
 
@@ -19,7 +19,7 @@
 Told = Callable[[int, Outcome, float, float], None]
 
 
-class Asking:
+class QuotaCalls:
     """One ingress's calls, the totals of a name told in the order of its calls."""
 
     def __init__(
@@ -34,22 +34,22 @@
         """`told`: name, outcome, total and seconds of a call."""
         self.loop, self.told, self.tally = loop, told, tally
         self.closed = False
-        self.client = Client(loop, log, address, limit, CONNECTIONS)
-        self.lines: dict[int, deque[list[tuple[Outcome, float, float]]]] = {}  # by name, the oldest first
+        self.client = CounterClient(loop, log, address, limit, CONNECTIONS)
+        self.pending: dict[int, deque[list[tuple[Outcome, float, float]]]] = {}  # by name, the oldest first
 
     def count(self, name: int, amount: float, life: float) -> None:
         """Adds an amount; how that ended is told once."""
         end: list[tuple[Outcome, float, float]] = []  # empty until it has come
-        self.lines.setdefault(name, deque()).append(end)
+        self.pending.setdefault(name, deque()).append(end)
         self._add(name, amount, life, end, TIMES)
 
     def _add(
         self, name: int, amount: float, life: float, end: list[tuple[Outcome, float, float]], times: int
     ) -> None:
-        def ended(counted: Counted) -> None:
+        def ended(counted: CallResult) -> None:
             if not end:
-                self._counted(name, end, counted)
-            elif counted.how is How.NOTHING and times and not self.closed:
+                self._finish_call(name, end, counted)
+            elif counted.effect is CallEffect.NOT_ADDED and times and not self.closed:
                 # Told as unanswered, which counts as added: the number would be wrong for its whole life.
                 self.loop.call_later(AGAIN, self._add, name, amount, life, end, times - 1)
 
@@ -60,16 +60,16 @@
         self.closed = True
         self.client.close()
 
-    def _counted(self, name: int, end: list[tuple[Outcome, float, float]], counted: Counted) -> None:
+    def _finish_call(self, name: int, end: list[tuple[Outcome, float, float]], counted: CallResult) -> None:
         outcome, total = Outcome.OK, counted.total
-        if counted.how is How.NOTHING:
+        if counted.effect is CallEffect.NOT_ADDED:
             outcome = Outcome.FULL if counted.full else Outcome.CONNECT_FAILED
         elif total is None:
             outcome = Outcome.TIMEOUT  # it may have been added
         self.tally(f"count.{outcome.value}")
         end.append((outcome, total or 0.0, counted.took))
-        line = self.lines[name]
+        line = self.pending[name]
         while line and line[0]:
             self.told(name, *line.popleft()[0])
-        if not line and self.lines.get(name) is line:
-            del self.lines[name]
+        if not line and self.pending.get(name) is line:
+            del self.pending[name]
--- a/standflow/counter/witness.py
+++ b/standflow/counter/reconciliation.py
@@ -8,35 +8,35 @@
 import time
 from collections.abc import Callable, Iterable
 
-from standflow.config.model import WitnessOptions
+from standflow.config.model import ReconciliationOptions
 from standflow.counter.budget import Budget
-from standflow.counter.client import Client, Counted, How
+from standflow.counter.client import CallEffect, CallResult, CounterClient
 from standflow.counter.health import Health
-from standflow.counter.ledger import LIFE, Call, End, Ledger, Told
+from standflow.counter.ledger import LIFE, Call, End, Ledger, RegisterReading
 from standflow.counter.modes import Modes
 from standflow.net.loop import Loop
 
-ENDS = {How.ADDED: End.ADDED, How.NOTHING: End.NOTHING, How.UNCERTAIN: End.UNCERTAIN}
+ENDS = {CallEffect.ADDED: End.ADDED, CallEffect.NOT_ADDED: End.NOT_ADDED, CallEffect.UNCERTAIN: End.UNCERTAIN}
 FORGET_EVERY = 5.0  # seconds
 
 
-class Witness:
+class CounterReconciliation:
     """One ingress's side of the counter."""
 
     def __init__(
         self,
         loop: Loop,
         log: Callable[[str], None],
-        options: WitnessOptions,
+        options: ReconciliationOptions,
         address: tuple[str, int],
-        told: Callable[[Told], None],
+        told: Callable[[RegisterReading], None],
         modes: Modes,
         heard: Callable[[], Iterable[float]],
     ) -> None:
         """`heard`: when each other ingress was heard last, of the loop's clock."""
         self.loop, self.log, self.options, self.told = loop, log, options, told
         self.modes, self.heard = modes, heard
-        self.client = Client(loop, log, address)
+        self.client = CounterClient(loop, log, address)
         self.ledger = Ledger()
         self.health = Health()
         self.budget = Budget(options.calls, loop.now())
@@ -45,9 +45,11 @@
         loop.every(options.every, self._tick)
         loop.every(FORGET_EVERY, self._forget)
 
-    def noted(self, key: bytes, size: int, place: int, count: int, level: float, fullness: float) -> None:
+    def record_use(
+        self, key: bytes, size: int, place: int, count: int, level: float, fullness: float
+    ) -> None:
         """The module's note of its own use; see hoistfold.interface.UseNoted."""
-        self.ledger.noted(key, size, place, count, level, fullness, self._now())
+        self.ledger.record_use(key, size, place, count, level, fullness, self._now())
 
     def close(self) -> None:
         """Ends every connection."""
@@ -71,13 +73,13 @@
         self.budget.allow(self.options.calls * self.modes.share(now))
         # Alone nobody comes near a quota: without the ring every customer is asked for, the fullest first.
         near = self.options.near if self.modes.ring.counts else 0.0
-        for call in self.ledger.due(self._now(), self.budget.take(now), near):
+        for call in self.ledger.due_calls(self._now(), self.budget.take(now), near):
             self.budget.spend()
             self.client.add(call.name, call.amount, LIFE, lambda end, call=call: self._ended(call, end))  # type: ignore[misc]
 
-    def _ended(self, call: Call, counted: Counted) -> None:
+    def _ended(self, call: Call, counted: CallResult) -> None:
         now = self.loop.now()
-        if counted.how is How.ADDED:
+        if counted.effect is CallEffect.ADDED:
             self.health.answered(call.name, counted.took, now)
         elif not counted.full:
             self.health.failed(call.name, now)
@@ -85,7 +87,7 @@
             return  # the register is read after all that may still land; a late word is older than that
         self.budget.ended(counted.full, now)
         emptied, excess = self.ledger.emptied, self.ledger.excess
-        told = self.ledger.ended(call, ENDS[counted.how], counted.total, self._now())
+        told = self.ledger.ended(call, ENDS[counted.effect], counted.total, self._now())
         if self.ledger.emptied > emptied:
             self.health.fell(call.name, now)
         if self.ledger.excess > excess:
--- a/tests/test_counted.py
+++ b/tests/test_counted.py
@@ -22,8 +22,8 @@
 from lab.callers import command, kind_of, read
 from lab.counted import CountedFleet
 from lab.counter import Door, Store, Way
-from standflow.counter.asking import Asking
-from standflow.counter.client import Counted, How
+from standflow.counter.client import CallEffect, CallResult
+from standflow.counter.quota_calls import QuotaCalls
 from standflow.exchange import Outcome
 from standflow.net.loop import Loop
 from tests.wire import Program, config, member, program, turn_until
@@ -267,29 +267,29 @@
     """Also where a later call's answer comes first, on another connection."""
     loop, told = Loop(print), list[tuple[Outcome, float]]()
     with Door(Store()) as door:
-        asking = Asking(
+        quota_calls = QuotaCalls(
             loop, print, door.address, 1.0, lambda *end: told.append((end[1], end[2])), lambda name: None
         )
         first: list[Any] = []
-        asking.lines[7] = deque([first])  # a call on a connection that is slow
+        quota_calls.pending[7] = deque([first])  # a call on a connection that is slow
         for _ in range(2):
-            asking.count(7, 1.0, 60.0)
-        turn_until(loop, lambda: all(asking.lines[7][n] for n in (1, 2)))
+            quota_calls.count(7, 1.0, 60.0)
+        turn_until(loop, lambda: all(quota_calls.pending[7][n] for n in (1, 2)))
         assert told == []
-        asking._counted(7, first, Counted(How.UNCERTAIN, None, 1.0))
+        quota_calls._finish_call(7, first, CallResult(CallEffect.UNCERTAIN, None, 1.0))
         assert told == [(Outcome.TIMEOUT, 0.0), (Outcome.OK, 1.0), (Outcome.OK, 2.0)]
-        assert not asking.lines
-        asking.close()
+        assert not quota_calls.pending
+        quota_calls.close()
 
 
 def test_what_was_unanswered_and_is_turned_away_late_is_added_after_all() -> None:
     """The line is longer than the limit: the module was told that it may have been added."""
     loop, told = Loop(print), list[Outcome]()
     with socket.create_server(("127.0.0.1", 0)) as server:
-        asking = Asking(
+        quota_calls = QuotaCalls(
             loop, print, server.getsockname(), 0.05, lambda *end: told.append(end[1]), lambda name: None
         )
-        asking.count(7, -1.0, 60.0)
+        quota_calls.count(7, -1.0, 60.0)
         turn_until(loop, lambda: told == [Outcome.TIMEOUT])
         counter = server.accept()[0]
         asked = counter.recv(65536)
@@ -304,10 +304,10 @@
 
         turn_until(loop, heard)
         counter.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n5")
-        turn_until(loop, lambda: not asking.client.connections[0].calls)
+        turn_until(loop, lambda: not quota_calls.client.connections[0].calls)
         assert told == [Outcome.TIMEOUT]
         counter.close()
-        asking.close()
+        quota_calls.close()
 
 
 # Real processes.
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -13,7 +13,16 @@
 from hypothesis import strategies as st
 
 from lab.counter import Door, Store, Way
-from standflow.counter.client import MAX_BODY, MOST_QUIET, PIPELINE, Client, Counted, How, encode, read_total
+from standflow.counter.client import (
+    MAX_BODY,
+    MOST_QUIET,
+    PIPELINE,
+    CallEffect,
+    CallResult,
+    CounterClient,
+    encode,
+    read_total,
+)
 from standflow.net.loop import Loop
 from tests.wire import LIMIT, listener, read_until, turn_until
 
@@ -24,16 +33,16 @@
     def __init__(self, address: tuple[str, int], limit: float = LIMIT, most: int = 32) -> None:
         self.log: list[str] = []
         self.loop = Loop(self.log.append)
-        self.client = Client(self.loop, self.log.append, address, limit, most)
-        self.ends: list[list[Counted]] = []
+        self.client = CounterClient(self.loop, self.log.append, address, limit, most)
+        self.ends: list[list[CallResult]] = []
 
-    def add(self, name: str = "a", amount: float = 1.0, life: float = 60.0) -> list[Counted]:
-        ends: list[Counted] = []
+    def add(self, name: str = "a", amount: float = 1.0, life: float = 60.0) -> list[CallResult]:
+        ends: list[CallResult] = []
         self.ends.append(ends)
         self.client.add(name, amount, life, ends.append)
         return ends
 
-    def until(self, *calls: list[Counted], count: int = 1) -> list[Counted]:
+    def until(self, *calls: list[CallResult], count: int = 1) -> list[CallResult]:
         turn_until(self.loop, lambda: all(len(call) >= count for call in calls))
         return [call[count - 1] for call in calls]
 
@@ -49,7 +58,9 @@
     assert not [line for line in made.log if "fault" in line]
     for ends in made.ends:  # told once, and a second time only to settle what was uncertain
         assert [end.late for end in ends] in ([False], [False, True])
-        assert len(ends) == 1 or (ends[0].how is How.UNCERTAIN and ends[1].how is not How.UNCERTAIN)
+        assert len(ends) == 1 or (
+            ends[0].effect is CallEffect.UNCERTAIN and ends[1].effect is not CallEffect.UNCERTAIN
+        )
     made.loop.epoll.close()
 
 
@@ -68,8 +79,8 @@
             at.add("a", 0.0),
             at.add("c", 1, 0.05),
         ]
-        assert [(end.how, end.total) for end in at.until(*calls)] == [
-            (How.ADDED, total) for total in (2.5, 4.0, 1.5, 1.5, 1.0)
+        assert [(end.effect, end.total) for end in at.until(*calls)] == [
+            (CallEffect.ADDED, total) for total in (2.5, 4.0, 1.5, 1.5, 1.0)
         ]
         time.sleep(0.06)
         assert at.until(at.add("c", 2.0))[0].total == 2.0
@@ -90,7 +101,7 @@
         known = []
         for _ in range(5):
             ends = at.until(*[at.add("a") for _ in range(PIPELINE)])
-            known.append(sum(end.how is How.ADDED for end in ends))
+            known.append(sum(end.effect is CallEffect.ADDED for end in ends))
         assert known[0] < PIPELINE / 4
         assert known[-1] == PIPELINE  # each on a connection of its own: all that is lost is the total
         door.way.spoil = 0.0
@@ -100,22 +111,22 @@
 def test_a_call_turned_away_has_added_nothing_and_says_so() -> None:
     with Door(Store(per_second=10.0, line=0.05)) as door, rig(door.address) as at:
         first, second = at.until(at.add("a"), at.add("a"))
-        assert (first.how, first.full) == (How.ADDED, False)
-        assert (second.how, second.full, second.total) == (How.NOTHING, True, None)
+        assert (first.effect, first.full) == (CallEffect.ADDED, False)
+        assert (second.effect, second.full, second.total) == (CallEffect.NOT_ADDED, True, None)
 
 
 def test_a_slow_answer_is_uncertain_in_time_and_settled_late() -> None:
     with Door(Store(), Way(delay=0.1)) as door, rig(door.address, 0.02) as at:
         call = at.add("a", 3.0)
-        assert at.until(call)[0].how is How.UNCERTAIN
+        assert at.until(call)[0].effect is CallEffect.UNCERTAIN
         assert 0.02 <= call[0].took < 0.09
-        assert at.until(call, count=2)[0] == Counted(How.ADDED, 3.0, call[1].took, False, True)
+        assert at.until(call, count=2)[0] == CallResult(CallEffect.ADDED, 3.0, call[1].took, False, True)
         assert len(at.client.connections) == 1  # it is slow, and serves on
 
 
 def test_an_answer_that_never_comes_stays_uncertain_and_those_behind_it_too() -> None:
     with Door(Store(parts=1), Way(cut={0})) as door, rig(door.address, 0.02) as at:
-        assert [end.how for end in at.until(at.add("a"), at.add("b"))] == [How.UNCERTAIN] * 2
+        assert [end.effect for end in at.until(at.add("a"), at.add("b"))] == [CallEffect.UNCERTAIN] * 2
         turn_until(at.loop, lambda: at.reasons() == ["silent"])
         door.way.cut.clear()
         assert at.until(at.add("a"))[0].total == 1.0  # on another connection
@@ -125,7 +136,7 @@
     with listener() as hop, rig(hop.getsockname(), 0.02) as at:
         lost = at.add("a")
         silent = accepted(hop)
-        assert at.until(lost)[0].how is How.UNCERTAIN
+        assert at.until(lost)[0].effect is CallEffect.UNCERTAIN
         calls = [at.add("a")]
 
         def written() -> bool:
@@ -149,20 +160,28 @@
 @pytest.mark.parametrize(
     ("answer", "how", "reason"),
     [
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nno!", How.ADDED, "bad_total"),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"9" * 99, How.ADDED, "bad_total"),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n12", How.ADDED, "peer_closed"),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnan", How.ADDED, "bad_total"),
-        (b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", How.UNCERTAIN, "status:500"),
-        (b"noise\r\n\r\n", How.UNCERTAIN, "bad_http"),
-        (b"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", How.NOTHING, "peer_closed"),
-        (b"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n7", How.ADDED, "peer_closed"),
-        (b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\n7", How.ADDED, "peer_closed"),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n7HTTP/1.1 ", How.ADDED, "unasked_bytes"),
-        (b"", How.UNCERTAIN, "peer_closed"),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nno!", CallEffect.ADDED, "bad_total"),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"9" * 99, CallEffect.ADDED, "bad_total"),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n12", CallEffect.ADDED, "peer_closed"),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnan", CallEffect.ADDED, "bad_total"),
+        (b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", CallEffect.UNCERTAIN, "status:500"),
+        (b"noise\r\n\r\n", CallEffect.UNCERTAIN, "bad_http"),
+        (b"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", CallEffect.NOT_ADDED, "peer_closed"),
+        (
+            b"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n7",
+            CallEffect.ADDED,
+            "peer_closed",
+        ),
+        (
+            b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\n7",
+            CallEffect.ADDED,
+            "peer_closed",
+        ),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n7HTTP/1.1 ", CallEffect.ADDED, "unasked_bytes"),
+        (b"", CallEffect.UNCERTAIN, "peer_closed"),
     ],
 )
-def test_each_answer_proves_what_it_proves(answer: bytes, how: How, reason: str) -> None:
+def test_each_answer_proves_what_it_proves(answer: bytes, how: CallEffect, reason: str) -> None:
     with listener() as hop, rig(hop.getsockname()) as at:
         call = at.add("a", 2.0)
         with accepted(hop) as sock:
@@ -171,7 +190,7 @@
             assert said.startswith(b"POST /v1/count/a?add=2&ttl_ms=60000 HTTP/1.1\r\n")
             sock.sendall(answer)
         end = at.until(call)[0]
-        assert end.how is how
+        assert end.effect is how
         assert (end.total is not None) == (b"\r\n\r\n7" in answer)
         turn_until(at.loop, lambda: at.reasons() == [reason])
 
@@ -180,7 +199,7 @@
     with listener() as hop:
         address = hop.getsockname()
     with rig(address) as at:
-        assert at.until(at.add("a"))[0].how is How.NOTHING
+        assert at.until(at.add("a"))[0].effect is CallEffect.NOT_ADDED
         assert at.reasons() == ["connect_failed:ECONNREFUSED"]
     with socket.socket() as full:  # a connection that never comes up: given up in time, and never sent later
         full.bind(("127.0.0.1", 0))
@@ -190,7 +209,7 @@
             sock.setblocking(False)
             sock.connect_ex(full.getsockname())
         with rig(full.getsockname(), 0.02) as at:
-            assert at.until(at.add("a"))[0].how is How.NOTHING
+            assert at.until(at.add("a"))[0].effect is CallEffect.NOT_ADDED
             assert not any(one.load for one in at.client.connections)
         for sock in held:
             sock.close()
@@ -214,10 +233,10 @@
 
     store = Store()
     with Door(store) as door, rig(door.address, 0.05) as at:
-        assert at.until(at.add("a"))[0].how is How.ADDED
+        assert at.until(at.add("a"))[0].effect is CallEffect.ADDED
         connection = at.client.connections[0]
         connection.sock = Narrow(connection.sock)  # type: ignore[assignment]
-        assert at.until(at.add("a"))[0].how is How.NOTHING
+        assert at.until(at.add("a"))[0].effect is CallEffect.NOT_ADDED
         assert at.reasons() == ["stuck"]
         assert store.calls == 1
 
@@ -239,7 +258,7 @@
                 sock.sendall((one + one)[:cut])
             for place, end in enumerate(at.until(*calls)):
                 got = cut - place * len(one)
-                assert end.how is (How.ADDED if got >= head else How.UNCERTAIN), (cut, place)
+                assert end.effect is (CallEffect.ADDED if got >= head else CallEffect.UNCERTAIN), (cut, place)
                 assert end.total == (5.0 if got >= len(one) else None), (cut, place)
 
 
@@ -249,8 +268,8 @@
         with accepted(old) as sock:
             turn_until(at.loop, lambda: at.client.connections[0].calls)
             read_until(sock, b"\r\n\r\n")
-            at.client.move(door.address)
-            assert call[0].how is How.UNCERTAIN
+            at.client.switch_address(door.address)
+            assert call[0].effect is CallEffect.UNCERTAIN
             assert at.reasons() == ["moved"]
             assert at.until(at.add("a"))[0].total == 1.0
 
--- a/tests/test_faulty_calls.py
+++ b/tests/test_faulty_calls.py
@@ -18,7 +18,7 @@
 from lab.box import Box
 from lab.callers import kind_of, read
 from lab.faulty_calls import SHORT, VARIABLE
-from standflow.counter.client import Client, Counted, How
+from standflow.counter.client import CallEffect, CallResult, CounterClient
 from standflow.exchange import Outcome, RouteSet
 from standflow.net import loop as loop_module
 from standflow.net import momentary
@@ -349,13 +349,13 @@
 
 def test_a_call_of_the_counter_that_cannot_be_waited_on_has_added_nothing() -> None:
     log: list[str] = []
-    loop, ends = Loop(log.append), list[Counted]()
+    loop, ends = Loop(log.append), list[CallResult]()
     loop.epoll = Failing(loop.epoll, 3)  # type: ignore[assignment]
     with listener() as counter:
-        client = Client(loop, log.append, counter.getsockname())
+        client = CounterClient(loop, log.append, counter.getsockname())
         client.add("a", 1.0, 1.0, ends.append)
         turn_until(loop, lambda: ends)
-        assert [end.how for end in ends] == [How.NOTHING]
+        assert [end.effect for end in ends] == [CallEffect.NOT_ADDED]
         assert client.connections == []
         client.add("a", 1.0, 1.0, ends.append)
         turn_until(loop, lambda: select.select([counter], [], [], 0)[0])
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -8,11 +8,11 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from standflow.config.model import WitnessOptions
-from standflow.counter.client import Counted, How
+from standflow.config.model import ReconciliationOptions
+from standflow.counter.client import CallEffect, CallResult
 from standflow.counter.health import ENTER, HEARD, LEAVE, NAMES, Health, State
 from standflow.counter.modes import Modes
-from standflow.counter.witness import Witness
+from standflow.counter.reconciliation import CounterReconciliation
 
 TEN = [f"n{n}" for n in range(10)]
 
@@ -76,8 +76,8 @@
 def test_the_witness_passes_on_what_totals_show() -> None:
     clock, log = [1000.0], list[str]()
     loop = SimpleNamespace(now=lambda: clock[0], call_later=lambda *_: None, every=lambda *_: None)
-    options, heard = WitnessOptions(100.0, 0.05, 0.0), lambda: [clock[0]]
-    witness = Witness(
+    options, heard = ReconciliationOptions(100.0, 0.05, 0.0), lambda: [clock[0]]
+    reconciliation = CounterReconciliation(
         loop,  # type: ignore[arg-type]
         log.append,
         options,
@@ -86,15 +86,17 @@
         Modes(0.1, 0.0),
         heard,
     )
-    witness.offset, witness.client = 0.0, SimpleNamespace(add=lambda *_: None)  # type: ignore[assignment]
+    reconciliation.offset, reconciliation.client = 0.0, SimpleNamespace(add=lambda *_: None)  # type: ignore[assignment]
     for total in (0, 400, 450, 350):  # read, written, then above and below what its only writer put there
-        witness.noted(b"k", 2, 0, 4, 0.0, 1.0)
-        for call in witness.ledger.due(clock[0], 10, 0.0):
-            witness._ended(call, Counted(How.ADDED, float(total) if call.place == 0 else 0.0, 0.01))
+        reconciliation.record_use(b"k", 2, 0, 4, 0.0, 1.0)
+        for call in reconciliation.ledger.due_calls(clock[0], 10, 0.0):
+            reconciliation._ended(
+                call, CallResult(CallEffect.ADDED, float(total) if call.ring_index == 0 else 0.0, 0.01)
+            )
         clock[0] += 1.1
-    witness._tick()
+    reconciliation._tick()
     clock[0] += ENTER
-    witness._tick()
+    reconciliation._tick()
     told = [line.split(" mean")[0] for line in log]
     assert told == ["quotas: neither -> both", "counter: good -> disagreeing"]
 
