--- a/standflow/assembly.py
+++ b/standflow/assembly.py
@@ -84,7 +84,7 @@
             config.idle_limit,
             config.drain_grace,
             config.max_connections,
-            flows=Flows(config.max_flows),
+            flows=Flows(config.max_flow_bytes),
             rest=REST,
             **make,
         )
@@ -97,7 +97,7 @@
                 log,
                 config.discovery,
                 config.zones,
-                config.known.revision if config.known else None,
+                config.initial_routes.revision if config.initial_routes else None,
                 self._routes_told,
                 random.Random(config.seed),
                 self.tally,
@@ -123,19 +123,19 @@
         self.speaks = True  # on the ring: of two processes of one ingress one alone does
         self.member: Member | None = None
         self.found: Trusted | None = None  # in the store
-        if config.passed is None:
+        if config.passed_fd is None:
             self._listen_to_peers()
-        with named("listen" if config.passed is None else "EDGE_PASSED_SOCKET"):
+        with named("listen" if config.passed_fd is None else "EDGE_PASSED_SOCKET"):
             self.clients = ClientSide(
                 loop,
                 log,
                 self.exchange,
                 config.listen,
                 config.max_clients,
-                min(config.max_unread, config.memory // 4),
-                config.passed,
-                config.max_bodies,
-                config.max_values,
+                min(config.max_unread_bytes, config.memory // 4),
+                config.passed_fd,
+                config.max_body_bytes,
+                config.max_value_bytes,
             )
         self.shutdown = Shutdown(loop, log, self.clients, self.exchange)
         self.reloading = self._make_reloading()
@@ -157,7 +157,7 @@
                     config.settings.number,
                     self.driver.peer_told,
                     self.tally,
-                    shared=config.passed is not None,
+                    shared=config.passed_fd is not None,
                     open_to_all=config.fleet is not None and bool(config.fleet.seeds),
                 )
             self.member = self._make_member(self.peers)
@@ -191,7 +191,7 @@
 
     def _make_handover(self) -> Handover | None:
         """The meeting with other processes of this ingress, where the platform holds the listening socket."""
-        if self.config.passed is None or self.config.folder is None:
+        if self.config.passed_fd is None or self.config.handover_folder is None:
             return None
         from standflow.upgrade.handover import Handover, Parts
 
@@ -211,7 +211,7 @@
             evacuated=lambda: (clients.evacuated, clients.evacuated_at),
             evacuate=clients.evacuate,
         )
-        return Handover(self.loop, self.log, self.config.folder, self.config.name, parts)
+        return Handover(self.loop, self.log, self.config.handover_folder, self.config.name, parts)
 
     def _make_store(self) -> StoreKeeper | None:
         """What outlives a power loss, where the operator's file has a place for it."""
@@ -245,8 +245,8 @@
             emptied=lambda: (clients.evacuated, clients.evacuated_at),
             members=lambda: None if self.member is None else self.member.counted_members(),
         )
-        store = Store(config.store.folder, whose, config.store.most)
-        return Keeper(self.loop, self.log, store, config.store.every, parts)
+        store = Store(config.store.folder, whose, config.store.max_bytes)
+        return Keeper(self.loop, self.log, store, config.store.write_interval, parts)
 
     def _trusted(self) -> Trusted | None:
         """What the store says, and of it what operators said is in force."""
@@ -290,9 +290,9 @@
         """Two processes of one ingress have its descriptors and its memory between them."""
         config, part = self.config, 2 if another else 1
         self.next_hops.max_connections = config.max_connections // part
-        self.next_hops.flows.budget = config.max_flows // part
-        self.clients.bodies.budget = config.max_bodies // part
-        self.clients.values.budget = config.max_values // part
+        self.next_hops.flows.budget = config.max_flow_bytes // part
+        self.clients.bodies.budget = config.max_body_bytes // part
+        self.clients.values.budget = config.max_value_bytes // part
 
     def _make_reloading(self) -> Reloading:
         routes, tls, calls = self.routes, self.tls, self.reconciliation or self.quota_calls
@@ -365,7 +365,7 @@
         warming = Warming(settings.cold_from, settings.cold_time)
         chance = random.Random(self.config.seed + 1)
         limits = Limits(options, warming, settings.gateways, settings.number, chance, self.driver.offset)
-        keeper = Keeper(self.loop, self.log, limits, self.next_hops, self._show, options.ready)
+        keeper = Keeper(self.loop, self.log, limits, self.next_hops, self._show, options.ready_connections)
         if tls is not None:
             keeper.resumable, keeper.forget, tls.changed = tls.resumable, tls.forget, keeper.replace
         return keeper
@@ -407,7 +407,7 @@
 
     def start(self) -> None:
         """Begins to serve: the saved list first, then discovery's word, then the callers."""
-        known, found = self.config.known, self._trusted()
+        known, found = self.config.initial_routes, self._trusted()
         if found is not None and found.hops and self.routes is not None:
             # candidates until discovery speaks; of it the whole list is asked for, whatever its revision is
             raw = {"revision": 0, "complete": True, "members": found.hops}
@@ -446,7 +446,7 @@
     def _begin(self) -> None:
         """Callers are served from now on."""
         if not self.clients.ready:
-            if self.config.passed is not None:
+            if self.config.passed_fd is not None:
                 try:
                     self._listen_to_peers()
                 except ConfigError as error:  # the ring does without this ingress
--- a/standflow/cli.py
+++ b/standflow/cli.py
@@ -14,7 +14,7 @@
 from standflow.config.model import ConfigError, TlsOptions
 from standflow.config.operators import configure, read_block
 from standflow.config.schema import Block
-from standflow.config.text import FileFaultError
+from standflow.config.text import ConfigFileError
 
 FILE = click.Path(dir_okay=False)
 DEFAULT = "deploy/standflow.conf"
@@ -36,8 +36,8 @@
         config = configure(block, path, os.environ, lambda line: click.echo(line, err=True))
         if config.tls is not None:
             _check_material(config.tls)
-    except FileFaultError as error:
-        raise FaultyError("\n".join(f"standflow: {fault}" for fault in error.faults)) from None
+    except ConfigFileError as error:
+        raise FaultyError("\n".join(f"standflow: {fault}" for fault in error.errors)) from None
     except ConfigError as error:
         raise FaultyError(f"standflow: {error}") from None
     return block
@@ -116,7 +116,7 @@
     """Directive, values and origin of everything in force, absent ones named too."""
     for path, given in block.walk():
         if given.directive.block is None:
-            yield path, " ".join(given.written), given.origin or "default"
+            yield path, " ".join(given.raw_values), given.origin or "default"
     for directive in block.table:
         if not block.all(directive.name):
             yield directive.name, "", "not set"
--- a/standflow/config/model.py
+++ b/standflow/config/model.py
@@ -37,38 +37,38 @@
     certificate: str | None
     key: str | None
     key_mode: int  # permission bits that the key's file may have at most
-    minimum: str  # "1.2" or "1.3"
+    min_version: str  # "1.2" or "1.3"
     alpn: tuple[str, ...]
     names: dict[str, str]  # the exact table: next hop to name
-    rules: tuple[NameRule, ...]
+    name_rules: tuple[NameRule, ...]
     handshake_timeout: float
     sessions: int  # kept per next hop
-    session_life: float
-    watch: float  # seconds between looks at the files; 0: only on SIGHUP
-    warn: float  # seconds before a certificate's end from which on it is warned of
+    session_lifetime: float
+    watch_interval: float  # seconds between looks at the files; 0: only on SIGHUP
+    warn_before: float  # seconds before a certificate's end from which on it is warned of
 
 
 @dataclass(slots=True, frozen=True)
 class HandshakeOptions:
     """The block `handshakes` of the operator's file."""
 
-    share: float  # of what a next hop can do at the moment, from all ingresses together
+    cold_share: float  # of what a next hop can do at the moment, from all ingresses together
     warm_share: float  # the same for one that is warm
     cores: dict[str, float]  # of a next hop by kind; "*" for the others
     cost: float  # processor seconds of a full handshake at a next hop of one core, at least
     resumed_cost: float
     back_off: tuple[float, float]  # the first pause after a failure and the longest
-    ready: int  # connections made ready ahead of the first request
-    plain: bool  # the same limits for connections without TLS
+    ready_connections: int  # connections made ready ahead of the first request
+    limit_plain: bool  # the same limits for connections without TLS
 
 
 @dataclass(slots=True, frozen=True)
 class ReconciliationOptions:
     """The block `witness` of the operator's file."""
 
-    calls: float  # a second, from this ingress at most
-    every: float  # seconds between rounds of calls
-    near: float  # of its burst, what a customer must use to be asked for
+    calls_per_second: float  # a second, from this ingress at most
+    interval: float  # seconds between rounds of calls
+    min_utilization: float  # of its burst, what a customer must use to be asked for
 
 
 @dataclass(slots=True, frozen=True)
@@ -84,8 +84,8 @@
     """The block `store` of the operator's file."""
 
     folder: Path
-    every: float  # seconds between writes
-    most: int  # bytes of what holds
+    write_interval: float  # seconds between writes
+    max_bytes: int  # bytes of what holds
 
 
 @dataclass(slots=True, frozen=True)
@@ -95,9 +95,9 @@
     name: str
     listen: Address
     ops: Address | None  # where operators call; None: nowhere
-    passed: int | None  # the descriptor of a listening socket that the platform holds
-    folder: str | None  # where the processes of this ingress meet, with such a socket
-    discovery: Address | None  # None: `known` holds for good
+    passed_fd: int | None  # the descriptor of a listening socket that the platform holds
+    handover_folder: str | None  # where the processes of this ingress meet, with such a socket
+    discovery: Address | None  # None: `initial_routes` hold for good
     counter: Address | None
     peer_listen: Address | None
     peers: tuple[Address, ...]
@@ -106,7 +106,7 @@
     sockets: int
     max_clients: int
     max_connections: int
-    known: RouteSet | None
+    initial_routes: RouteSet | None
     settings: i.Settings
     zones: tuple[str, ...]
     dial_timeout: float
@@ -119,23 +119,23 @@
     witness: ReconciliationOptions | None = None
     fleet: FleetOptions | None = None
     store: StoreOptions | None = None
-    keys: Any = None  # of the platform's JSON, as reload.shape has them
-    max_unread: int = 32 * 1024 * 1024  # bytes that slow callers together may leave unread
+    platform_keys: Any = None  # of the platform's JSON, as reload.key_shape has them
+    max_unread_bytes: int = 32 * 1024 * 1024  # bytes that slow callers together may leave unread
 
     memory: int = 192 * 1024 * 1024  # bytes that this ingress may take
 
     @property
-    def max_flows(self) -> int:
+    def max_flow_bytes(self) -> int:
         """Bytes of long values on their way to clients."""
         return self.memory // 16
 
     @property
-    def max_values(self) -> int:
+    def max_value_bytes(self) -> int:
         """Bytes of long values that are gathered, as other requests were read behind them."""
         return self.memory // 16
 
     @property
-    def max_bodies(self) -> int:
+    def max_body_bytes(self) -> int:
         """Bytes of long request bodies; while one is taken out of its buffer it lies there twice."""
         return self.memory // 8
 
--- a/standflow/config/operators.py
+++ b/standflow/config/operators.py
@@ -28,9 +28,9 @@
 from standflow.config.platform import of_process
 from standflow.config.platform import parse as parse_platform
 from standflow.config.platform import read as read_platform
-from standflow.config.reload import shape
+from standflow.config.reload import key_shape
 from standflow.config.schema import Block, Given, Reader, is_host
-from standflow.config.text import FileFaultError, Statement, Word, read_file
+from standflow.config.text import ConfigFileError, Statement, Word, read_file
 from standflow.net.peers import NOWHERE
 from standflow.net.routes import read_address
 
@@ -73,7 +73,7 @@
     block = reader.block(TOP, statements, "", Word("", 1, 1))
     _check(reader, statements, block, over or block.has("platform"))
     if reader.faults:
-        raise FileFaultError(reader.faults)
+        raise ConfigFileError(reader.faults)
     return block
 
 
@@ -94,7 +94,7 @@
     if json_path is not None:
         given = str(folder / json_path) if block.value("platform") else json_path
         raw = parse_platform({**environment, "EDGE_CONFIG": given})
-        over, keys = True, shape(raw)
+        over, keys = True, key_shape(raw)
     else:
         raw, over, keys = _empty(), False, None
     static = block.value("discovery") == "off" and (block.has("discovery") or not over)
@@ -123,7 +123,7 @@
     )
     return replace(
         config,
-        keys=keys,
+        platform_keys=keys,
         tls=None if tls is None else _tls(tls, folder),
         handshakes=_handshakes(handshakes) if handshakes is not None and limited else None,
         witness=None if witness is None else _witness(witness),
@@ -131,7 +131,7 @@
         fleet=None if fleet is None else FleetOptions(fleet.value("name"), seeds),
         peers=(NOWHERE,) * config.settings.gateways if seeds else config.peers,
         settings=replace(config.settings, witness=witness is not None, membership=fleet is not None),
-        max_unread=limits.value("unread") if limits is not None else config.max_unread,
+        max_unread_bytes=limits.value("unread") if limits is not None else config.max_unread_bytes,
     )
 
 
@@ -265,15 +265,15 @@
         certificate=path("certificate"),
         key=path("key"),
         key_mode=block.value("key-mode"),
-        minimum=block.value("minimum"),
+        min_version=block.value("minimum"),
         alpn=block.values("alpn"),
         names={one.values[0]: one.values[1] for one in block.all("name")},
-        rules=tuple(_rule(one) for one in block.all("names")),
+        name_rules=tuple(_rule(one) for one in block.all("names")),
         handshake_timeout=block.value("handshake-timeout"),
         sessions=block.value("sessions"),
-        session_life=block.value("session-life"),
-        watch=block.value("watch"),
-        warn=block.value("warn"),
+        session_lifetime=block.value("session-life"),
+        watch_interval=block.value("watch"),
+        warn_before=block.value("warn"),
     )
 
 
@@ -285,14 +285,14 @@
 
 def _handshakes(block: Block) -> HandshakeOptions:
     return HandshakeOptions(
-        share=block.value("share"),
+        cold_share=block.value("share"),
         warm_share=block.value("warm-share"),
         cores={one.values[0]: one.values[1] for one in block.all("cores")},
         cost=block.value("cost"),
         resumed_cost=block.value("resumed-cost"),
         back_off=(block.values("back-off")[0], block.values("back-off")[1]),
-        ready=block.value("ready"),
-        plain=block.value("plain"),
+        ready_connections=block.value("ready"),
+        limit_plain=block.value("plain"),
     )
 
 
--- a/standflow/config/platform.py
+++ b/standflow/config/platform.py
@@ -16,7 +16,7 @@
 from hoistfold import interface as i
 from hoistfold.adapter import read_settings
 from standflow.config.model import Address, Config, ConfigError
-from standflow.config.reload import shape
+from standflow.config.reload import key_shape
 from standflow.exchange import RouteSet
 from standflow.net.routes import RouteError, read_address, read_routes
 
@@ -50,7 +50,7 @@
 def load(environment: Mapping[str, str], log: Callable[[str], None]) -> Config:
     """Reads what the environment points to; ConfigError names the key that is at fault."""
     raw = parse(environment)
-    return replace(read(raw, log), keys=shape(raw))
+    return replace(read(raw, log), platform_keys=key_shape(raw))
 
 
 def parse(environment: Mapping[str, str]) -> dict[str, Any]:
@@ -108,8 +108,8 @@
         name=_text(raw, "name"),
         listen=_required(raw, "listen"),
         ops=ops,
-        passed=_passed(raw),
-        folder=raw.get("folder") if raw.get("passed") else None,
+        passed_fd=_passed(raw),
+        handover_folder=raw.get("folder") if raw.get("passed") else None,
         discovery=None if static else _required(raw, "discovery"),
         counter=counter,
         peer_listen=peer_listen,
@@ -120,7 +120,7 @@
         memory=int(memory * (1 << 20)),
         max_clients=usable * 55 // 100,
         max_connections=usable * 45 // 100,
-        known=_known(raw, zones, log),
+        initial_routes=_known(raw, zones, log),
         settings=settings,
         zones=zones,
         dial_timeout=_time(caps, "DialTimeoutUs", "settings.Caps."),
--- a/standflow/config/schema.py
+++ b/standflow/config/schema.py
@@ -198,7 +198,7 @@
 
     directive: Directive
     values: tuple[Any, ...]
-    written: tuple[str, ...]
+    raw_values: tuple[str, ...]
     origin: str
     block: Block | None = None
 
@@ -237,7 +237,7 @@
         """Each directive in force with its path, blocks after their own line."""
         for directive in self.table:
             for one in self.all(directive.name):
-                key = " ".join((directive.name, *one.written)) if one.block is not None else directive.name
+                key = " ".join((directive.name, *one.raw_values)) if one.block is not None else directive.name
                 yield path + key, one
                 if one.block is not None:
                     yield from one.block.walk(path + key + ".")
--- a/standflow/config/text.py
+++ b/standflow/config/text.py
@@ -23,16 +23,16 @@
 }
 
 
-class FileFaultError(ConfigError):
+class ConfigFileError(ConfigError):
     """A fault of the file: its text is FILE:LINE:COLUMN: DIRECTIVE: what is wrong and what was expected.
 
-    `faults` holds all that were found, the first of them being the exception's own text.
+    `errors` holds all that were found, the first of them being the exception's own text.
     """
 
-    def __init__(self, faults: list[str]) -> None:
-        self.faults = faults
-        more = len(faults) - 1
-        super().__init__(faults[0] + (f" (and {more} more)" if more else ""))
+    def __init__(self, errors: list[str]) -> None:
+        self.errors = errors
+        more = len(errors) - 1
+        super().__init__(errors[0] + (f" (and {more} more)" if more else ""))
 
 
 @dataclass(slots=True, frozen=True)
@@ -82,12 +82,12 @@
 def parse(text: str, name: str) -> tuple[Statement, ...]:
     """The statements of a file's text; FileFaultError says where it can't be read and what was expected."""
     if len(text) > MAX_FILE:
-        raise FileFaultError([f"{name}:1:1: the file is over {MAX_FILE} bytes"])
+        raise ConfigFileError([f"{name}:1:1: the file is over {MAX_FILE} bytes"])
     text = text.replace("\r\n", "\n") + "\n"
     try:
         parsed = _parser().parse(text)
     except UnexpectedInput as error:
-        raise FileFaultError([_fault(error, text, name)]) from None
+        raise ConfigFileError([_fault(error, text, name)]) from None
     assert isinstance(parsed, tuple)
     return parsed
 
@@ -118,4 +118,4 @@
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError as error:
-        raise FileFaultError([f"{path}:1:1: byte {error.start} is not UTF-8"]) from None
+        raise ConfigFileError([f"{path}:1:1: byte {error.start} is not UTF-8"]) from None
--- a/standflow/counter/reconciliation.py
+++ b/standflow/counter/reconciliation.py
@@ -39,10 +39,10 @@
         self.client = CounterClient(loop, log, address)
         self.ledger = Ledger()
         self.health = Health()
-        self.budget = Budget(options.calls, loop.now())
+        self.budget = Budget(options.calls_per_second, loop.now())
         # One offset for the whole run: steps of the wall clock must not reach the periods.
         self.offset = time.time() - time.monotonic()
-        loop.every(options.every, self._tick)
+        loop.every(options.interval, self._tick)
         loop.every(FORGET_EVERY, self._forget)
 
     def record_use(
@@ -70,9 +70,9 @@
         before_mode = self.modes.mode
         if self.modes.look(self.heard(), self.health.state, now) is not None:
             self.log(f"quotas: {before_mode.value} -> {self.modes.mode.value}")
-        self.budget.allow(self.options.calls * self.modes.share(now))
+        self.budget.allow(self.options.calls_per_second * self.modes.share(now))
         # Alone nobody comes near a quota: without the ring every customer is asked for, the fullest first.
-        near = self.options.near if self.modes.ring.counts else 0.0
+        near = self.options.min_utilization if self.modes.ring.counts else 0.0
         for call in self.ledger.due_calls(self._now(), self.budget.take(now), near):
             self.budget.spend()
             self.client.add(call.name, call.amount, LIFE, lambda end, call=call: self._ended(call, end))  # type: ignore[misc]
--- a/standflow/handshakes/limits.py
+++ b/standflow/handshakes/limits.py
@@ -201,11 +201,13 @@
     def _turns(self, hop: str, known: _Hop) -> Turns:
         # A cold next hop has lost its sessions: every turn is reckoned as a full handshake.
         cost, cores = self.costs.cost(known.kind, False), self._cores(known.kind)
-        return Turns(self.warming, cores, self.options.share, cost, self.ingresses, self.number, hop)
+        return Turns(self.warming, cores, self.options.cold_share, cost, self.ingresses, self.number, hop)
 
     def _blind(self, hop: str, known: _Hop) -> Turns:
         cost, cores = self.costs.cost(known.kind, False), self._cores(known.kind)
-        return BlindTurns(self.warming, cores, self.options.share, cost, self.ingresses, self.number, hop)
+        return BlindTurns(
+            self.warming, cores, self.options.cold_share, cost, self.ingresses, self.number, hop
+        )
 
     def _cores(self, kind: str) -> float:
         return self.options.cores.get(kind, self.options.cores.get("*", 1.0))
--- a/standflow/reloading.py
+++ b/standflow/reloading.py
@@ -9,7 +9,7 @@
 from hoistfold.interface import Settings
 from standflow.config import Config, ConfigError, load
 from standflow.config.model import Address, TlsOptions
-from standflow.config.reload import missing
+from standflow.config.reload import first_missing_key
 from standflow.driver import Driver
 from standflow.exchange import Exchange
 from standflow.net.loop import Loop
@@ -61,7 +61,7 @@
         """SIGHUP: reads the configuration anew; what can't be used is named, and all stays as it was."""
         try:
             config = load(os.environ, self.log)
-            if key := missing(self.config.keys, config.keys):
+            if key := first_missing_key(self.config.platform_keys, config.platform_keys):
                 raise ConfigError(f"{key}: is missing; the file in force has it")
         except ConfigError as error:
             self.rejected += 1
@@ -78,7 +78,7 @@
             discovery=config.discovery,
             counter=config.counter,
             settings=settings,
-            keys=config.keys,
+            platform_keys=config.platform_keys,
             # Whoever sends SIGKILL may go by either file: a shutdown has to be over by the earlier moment.
             longest_deadline=min(before.longest_deadline, config.longest_deadline),
         )
--- a/standflow/tls/material.py
+++ b/standflow/tls/material.py
@@ -83,10 +83,10 @@
         except (ssl.SSLError, OSError) as error:
             raise MaterialError(f"{options.certificate}: {error}") from None
         ends = min(one.not_valid_after_utc for one in chain)
-        if (ends - now).total_seconds() < options.warn:
+        if (ends - now).total_seconds() < options.warn_before:
             warnings.append(ending(options.certificate, ends, now))
     last = min(current, key=lambda root: root.not_valid_after_utc).not_valid_after_utc
-    if (last - now).total_seconds() < options.warn:
+    if (last - now).total_seconds() < options.warn_before:
         warnings.append(ending(options.roots, last, now))
     if stamp(options) != before:
         raise MaterialError(f"{options.roots}: the files changed while they were read")
@@ -105,7 +105,9 @@
     context.hostname_checks_common_name = False  # RFC 9525: the subject's CN proves nothing
     context.verify_flags |= ssl.VERIFY_X509_STRICT
     context.options |= ssl.OP_NO_RENEGOTIATION | ssl.OP_NO_COMPRESSION
-    context.minimum_version = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}[options.minimum]
+    context.minimum_version = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}[
+        options.min_version
+    ]
     if options.alpn:
         context.set_alpn_protocols(list(options.alpn))
     return context
--- a/standflow/tls/names.py
+++ b/standflow/tls/names.py
@@ -17,7 +17,7 @@
     exact = options.names.get(hop)
     if exact is not None:
         return exact
-    for rule in options.rules:
+    for rule in options.name_rules:
         if fnmatchcase(hop, rule.hop) and fnmatchcase(zone, rule.zone) and fnmatchcase(kind, rule.kind):
             name = rule.template.format(id=hop, zone=zone, kind=kind).lower()
             return name if is_host(name) else None
--- a/standflow/tls/streams.py
+++ b/standflow/tls/streams.py
@@ -39,7 +39,7 @@
         self.loop, self.log, self.options = loop, log, options
         self.changed: Callable[[int], None] = lambda generation: None
         self.material: Material = material.load(options, 1)
-        self.sessions = Sessions(options.sessions, options.session_life)
+        self.sessions = Sessions(options.sessions, options.session_lifetime)
         self.full = self.resumed = self.failed = self.declined = 0
         self._refused: tuple[str, material.Stamp] | None = None  # what was complained of last
         self._seen = self.material.stamp
@@ -47,7 +47,7 @@
         self._say(self.material)
         loop.every(COUNT_EVERY, self.tell_counts)
         loop.every(WARN_EVERY, self._remind)
-        loop.every(lambda: self.options.watch or NO_WATCH, self._watch)
+        loop.every(lambda: self.options.watch_interval or NO_WATCH, self._watch)
 
     @property
     def generation(self) -> int:
@@ -116,13 +116,13 @@
 
     def reload(self, options: TlsOptions) -> None:
         """SIGHUP: other options and whatever the files hold now; a bad set changes nothing."""
-        names_before = (self.options.names, self.options.rules)
+        names_before = (self.options.names, self.options.name_rules)
         try:
             self._take(options)
         except MaterialError as error:
             self.log(f"tls: {error}; the set before stays in use")
             return
-        if (options.names, options.rules) != names_before:
+        if (options.names, options.name_rules) != names_before:
             self.log("tls: names changed")
 
     def _take(self, options: TlsOptions) -> None:
@@ -130,7 +130,7 @@
         self.options, self._refused = options, None
         self._seen = self.material.stamp
         self.sessions.clear()
-        self.sessions.most, self.sessions.life = options.sessions, options.session_life
+        self.sessions.most, self.sessions.life = options.sessions, options.session_lifetime
         self._say(self.material)
         self.changed(self.material.generation)
 
@@ -141,7 +141,7 @@
 
     def _watch(self) -> None:
         """Looks at the files; a set is read once it kept still for a look, as two files change in turn."""
-        if not self.options.watch:
+        if not self.options.watch_interval:
             return
         found = material.stamp(self.options)
         still, self._seen = found == self._seen, found
@@ -171,5 +171,5 @@
 
     def _remind(self) -> None:
         now, ends = datetime.now(UTC), self.material.ends
-        if ends is not None and ends - now < timedelta(seconds=self.options.warn):
+        if ends is not None and ends - now < timedelta(seconds=self.options.warn_before):
             self.log(f"tls: {material.ending(self.options.certificate or '', ends, now)}")
--- a/tests/test_handshakes.py
+++ b/tests/test_handshakes.py
@@ -29,14 +29,14 @@
 
 WARMING = Warming(0.15, 17.0)
 OPTIONS = HandshakeOptions(
-    share=0.2,
+    cold_share=0.2,
     warm_share=0.5,
     cores={},
     cost=0.0007,
     resumed_cost=0.0005,
     back_off=(0.1, 5.0),
-    ready=1,
-    plain=False,
+    ready_connections=1,
+    limit_plain=False,
 )
 SLOW = settings(derandomize=True, max_examples=40, deadline=None)
 
@@ -135,9 +135,9 @@
         begin = begun[first]
         able = WARMING.work(at, cores) - WARMING.work(begin, cores)
         # of n handshakes from one begin to another n - 1 fit between them, and one more is on
-        assert (last - first + 1) * cost <= OPTIONS.share * able + 2 * cost + 1e-6
+        assert (last - first + 1) * cost <= OPTIONS.cold_share * able + 2 * cost + 1e-6
     if dead == 0 and restarts == 0 and learns == 0.0 and ingresses <= 3 and cost <= 0.002:
-        whole = OPTIONS.share * WARMING.work(16.9, cores) / cost
+        whole = OPTIONS.cold_share * WARMING.work(16.9, cores) / cost
         assert len(begun) > 0.5 * whole / ingresses  # what is granted is used, not only withheld
 
 
@@ -383,7 +383,7 @@
             self.limits,
             rig.side,
             self.shown.append,
-            changes.get("ready", 1),
+            changes.get("ready_connections", 1),
         )
         self.keeper.resumable, self.keeper.forget = rig.streams.resumable, rig.streams.forget
         rig.streams.changed = self.keeper.replace
@@ -433,7 +433,7 @@
     assert kept.keeper.denied == 1
     # it was wanted: another one is opened ahead at the next turn, well after the first
     kept.until(lambda: rigged.box.counts.connections == 2)
-    assert kept.rig.at.loop.now() - began > 20 * OPTIONS.cost / OPTIONS.share
+    assert kept.rig.at.loop.now() - began > 20 * OPTIONS.cost / OPTIONS.cold_share
     assert not rigged.at.gone
 
 
@@ -480,7 +480,7 @@
 
 
 def test_connections_on_old_material_are_replaced_one_by_one_and_open_requests_finish(rigged: Any) -> None:
-    kept = Kept(rigged, ready=3)
+    kept = Kept(rigged, ready_connections=3)
     kept.told()
     kept.until(lambda: kept.shown_hops() == ["tt-07"])
     rigged.box.mode.silent = True
@@ -511,7 +511,7 @@
 def test_the_last_connection_lost_throws_doubt_on_a_next_hop_and_one_closed_from_here_does_not(
     rigged: Any,
 ) -> None:
-    kept = Kept(rigged, ready=2)
+    kept = Kept(rigged, ready_connections=2)
     kept.told()
     kept.until(lambda: kept.shown_hops() == ["tt-07"])
     # the second connection may have taken up the first one's session, whose place may then be empty
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -16,7 +16,7 @@
 from standflow import cli
 from standflow.config import Config, ConfigError, load
 from standflow.config.schema import ValueFaultError, share, show_time, size, time
-from standflow.config.text import FileFaultError, Statement, parse
+from standflow.config.text import ConfigFileError, Statement, parse
 from tests.test_adapter import ROOT
 from tests.wire import Program, command, config, read_until
 
@@ -51,8 +51,8 @@
     assert configured.discovery is None
     assert configured.classes == {"view": True, "change": False}
     assert configured.drain_grace == 0.5
-    assert configured.known is not None
-    assert configured.known.routes[0].zone == "room-b"
+    assert configured.initial_routes is not None
+    assert configured.initial_routes.routes[0].zone == "room-b"
     assert (configured.tls, configured.handshakes) == (None, None)
 
 
@@ -99,7 +99,7 @@
 def test_any_text_is_read_or_named_with_its_place(text: str) -> None:
     try:
         parse(text, "f")
-    except FileFaultError as error:
+    except ConfigFileError as error:
         place = str(error).split(":")
         assert place[0] == "f"
         assert int(place[1]) >= 1
@@ -169,20 +169,32 @@
     assert tls is not None
     assert handshakes is not None
     assert tls.roots == str(tmp_path / "r.pem")
-    assert (tls.key_mode, tls.minimum, tls.alpn, tls.warn) == (0o600, "1.3", ("resp2", "x"), 14 * 86400)
+    assert (tls.key_mode, tls.min_version, tls.alpn, tls.warn_before) == (
+        0o600,
+        "1.3",
+        ("resp2", "x"),
+        14 * 86400,
+    )
     assert tls.names == {"s-1": "tt-01.example.org"}
-    assert [(rule.template, rule.zone, rule.kind) for rule in tls.rules] == [
+    assert [(rule.template, rule.zone, rule.kind) for rule in tls.name_rules] == [
         ("box.example.org", "room-*", "big"),
         ("{id}.{zone}.example.org", "*", "*"),
     ]
-    assert (handshakes.share, handshakes.cores, handshakes.back_off) == (0.1, {"big": 4.0}, (0.001, 120.0))
+    assert (handshakes.cold_share, handshakes.cores, handshakes.back_off) == (
+        0.1,
+        {"big": 4.0},
+        (0.001, 120.0),
+    )
 
 
 def test_the_file_stands_over_the_platforms_where_it_says_something(tmp_path: Path) -> None:
     (tmp_path / "platform.json").write_text(json.dumps(config()))
     configured = read(tmp_path, "platform platform.json\nlimits {\n  drain-grace 250ms\n}\n")
     assert (configured.drain_grace, configured.max_open) == (0.25, 100)  # 20000 is only the file's default
-    assert read(tmp_path, "platform platform.json\nlimits {\n  unread 4m\n}\n").max_unread == 4 * 1024 * 1024
+    assert (
+        read(tmp_path, "platform platform.json\nlimits {\n  unread 4m\n}\n").max_unread_bytes
+        == 4 * 1024 * 1024
+    )
     configured = read(tmp_path, "sockets 100\n", EDGE_CONFIG=str(tmp_path / "platform.json"))
     assert (configured.sockets, configured.name, set(configured.plans)) == (100, "n0", {"plain"})
     assert configured.discovery == ("127.0.0.1", 1)
@@ -195,11 +207,11 @@
     path = tmp_path / "f.conf"
     path.write_text(BASE + "ops 127.0.0.1:1\nmemory 64m\n")
     given = load({"STANDFLOW_CONF": f"{path}"}, print)
-    assert (given.ops, given.memory, given.max_bodies) == (("127.0.0.1", 1), 64 << 20, 8 << 20)
-    assert (given.passed, given.folder) == (None, None)
+    assert (given.ops, given.memory, given.max_body_bytes) == (("127.0.0.1", 1), 64 << 20, 8 << 20)
+    assert (given.passed_fd, given.handover_folder) == (None, None)
     ours = {"STANDFLOW_CONF": f"{path}", "EDGE_OPS": "127.0.0.1:2", "EDGE_PASSED_SOCKET": "3", "TMPDIR": "/t"}
     given = load(ours, print)
-    assert (given.ops, given.passed, given.folder) == (("127.0.0.1", 2), 3, "/t")
+    assert (given.ops, given.passed_fd, given.handover_folder) == (("127.0.0.1", 2), 3, "/t")
 
 
 @given(st.floats(1e-6, 86400))
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -387,7 +387,7 @@
         turn_until(loop, lambda: any("connect_failed" in line for line in log))
         turn_until(loop, lambda: ingress.tally.counts.get("answer.refused", 0) == 1)
         assert read_until(connection, b"\r\n").startswith(b"-BUSY")
-    known = ingress.config.known
+    known = ingress.config.initial_routes
     assert known is not None
     ingress.next_hops.routes_told(replace(known, routes=()))
     ingress.driver.routes_told(replace(known, routes=()))
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -14,7 +14,7 @@
 from hoistfold import interface as i
 from standflow.config import load
 from standflow.config.model import ConfigError
-from standflow.config.reload import missing, shape
+from standflow.config.reload import first_missing_key, key_shape
 from standflow.exchange import Branch, Outcome, Request, Result, UnacceptableError
 from standflow.net.nexthop import REST
 from tests.test_connections import Recorder
@@ -55,7 +55,7 @@
     for end in range(0, len(text), 7):
         with pytest.raises(ConfigError):
             loaded(tmp_path / "c", text[:end])
-    before = loaded(tmp_path / "c", text).keys
+    before = loaded(tmp_path / "c", text).platform_keys
 
     def paths(value: Any, path: tuple[Any, ...] = ()) -> Any:
         for key in value if isinstance(value, dict) else range(len(value) if isinstance(value, list) else 0):
@@ -70,11 +70,11 @@
             inner = inner[step]
         del inner[path[-1]]
         if path[0] != "known":
-            assert missing(before, shape(raw)).endswith(str(path[-1]))
+            assert first_missing_key(before, key_shape(raw)).endswith(str(path[-1]))
     raw = config()
     raw["settings"]["Classes"].pop()
     raw["new"] = 1
-    assert missing(before, shape(raw)) == ""
+    assert first_missing_key(before, key_shape(raw)) == ""
 
 
 class Silent:
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -50,15 +50,15 @@
         certificate=None,
         key=None,
         key_mode=0o600,
-        minimum="1.2",
+        min_version="1.2",
         alpn=(),
         names={},
-        rules=(NameRule("{id}.{zone}.example.org"),),
+        name_rules=(NameRule("{id}.{zone}.example.org"),),
         handshake_timeout=LIMIT,
         sessions=8,
-        session_life=3600.0,
-        watch=0.0,
-        warn=0.0,
+        session_lifetime=3600.0,
+        watch_interval=0.0,
+        warn_before=0.0,
     )
     return replace(made, **changes)
 
@@ -153,7 +153,7 @@
         (Mode(stall_at=0), CERT, {"handshake_timeout": 0.05}, "handshake_timeout"),
         (Mode(cut_after=200), CERT, {}, "cut_off"),
         (Mode(reset_accepts=True), CERT, {}, "cut_off"),
-        (Mode(), CERT, {"rules": ()}, "no_name"),
+        (Mode(), CERT, {"name_rules": ()}, "no_name"),
         (Mode(), AUTHORITY.issue("*.example.org"), {}, "wrong_name"),  # one label, not two
         (Mode(), AUTHORITY.issue_odd("tt-*.room-b.example.org"), {}, "wrong_name"),  # no part of a label
     ],
@@ -182,7 +182,7 @@
 
 def test_the_version_asked_for_and_the_protocols_offered_are_kept_to(tmp_path: Path) -> None:
     with Box(server_context(CERT, newest=V12, alpn=("resp2",))) as box:
-        with rig(box.address, options(tmp_path, minimum="1.3")) as at:
+        with rig(box.address, options(tmp_path, min_version="1.3")) as at:
             assert at.ask() is Outcome.CONNECT_FAILED
             assert at.ends() == ["alert:70"]
         with rig(box.address, options(tmp_path, alpn=("resp3", "resp2"))) as at:
@@ -560,7 +560,7 @@
     using = options(
         tmp_path,
         names={"tt-01": "one.example.org"},
-        rules=(
+        name_rules=(
             NameRule("big.{zone}.example.org", kind="big-*"),
             NameRule("{id}.{kind}.example.org", zone="room-?"),
         ),
@@ -581,7 +581,9 @@
 
 
 def test_a_set_is_taken_whole_with_the_days_that_are_left(tmp_path: Path) -> None:
-    using = replace(own(tmp_path, AUTHORITY.issue("i.example.org", ends=5 * 86400.0)), warn=14 * 86400.0)
+    using = replace(
+        own(tmp_path, AUTHORITY.issue("i.example.org", ends=5 * 86400.0)), warn_before=14 * 86400.0
+    )
     made = material.load(using, 3)
     assert (made.generation, made.own) == (3, True)
     assert made.ends is not None
@@ -664,7 +666,7 @@
 
 
 def test_a_watch_takes_a_new_set_up_once_it_is_whole_and_keeps_the_old_one_else(tmp_path: Path) -> None:
-    using = replace(own(tmp_path), watch=0.02)
+    using = replace(own(tmp_path), watch_interval=0.02)
     with Box(server_context(CERT, clients=AUTHORITY)) as box, rig(box.address, using) as at:
         told: list[int] = []
         at.streams.changed = told.append
@@ -689,7 +691,7 @@
     at = Recorder()
     streams = TlsStreams(at.loop, at.log.append, own(tmp_path))
     AUTHORITY.write(tmp_path, AUTHORITY.issue("new.example.org"), "other")
-    streams.options = replace(streams.options, watch=1000.0)
+    streams.options = replace(streams.options, watch_interval=1000.0)
     for name in ("ingress.pem", "ingress.key"):
         (tmp_path / name.replace("ingress", "other")).replace(tmp_path / name)
         streams._watch()
