--- a/standflow/counter/quota_calls.py
+++ b/standflow/counter/quota_calls.py
@@ -63,11 +63,11 @@
     def _finish_call(self, name: int, end: list[tuple[Outcome, float, float]], counted: CallResult) -> None:
         outcome, total = Outcome.OK, counted.total
         if counted.effect is CallEffect.NOT_ADDED:
-            outcome = Outcome.FULL if counted.full else Outcome.CONNECT_FAILED
+            outcome = Outcome.FULL if counted.overloaded else Outcome.CONNECT_FAILED
         elif total is None:
             outcome = Outcome.TIMEOUT  # it may have been added
         self.tally(f"count.{outcome.value}")
-        end.append((outcome, total or 0.0, counted.took))
+        end.append((outcome, total or 0.0, counted.latency))
         line = self.pending[name]
         while line and line[0]:
             self.told(name, *line.popleft()[0])
--- a/standflow/counter/reconciliation.py
+++ b/standflow/counter/reconciliation.py
@@ -80,12 +80,12 @@
     def _ended(self, call: Call, counted: CallResult) -> None:
         now = self.loop.now()
         if counted.effect is CallEffect.ADDED:
-            self.health.answered(call.name, counted.took, now)
-        elif not counted.full:
+            self.health.answered(call.name, counted.latency, now)
+        elif not counted.overloaded:
             self.health.failed(call.name, now)
         if counted.late:
             return  # the register is read after all that may still land; a late word is older than that
-        self.budget.ended(counted.full, now)
+        self.budget.ended(counted.overloaded, now)
         emptied, excess = self.ledger.emptied, self.ledger.excess
         told = self.ledger.ended(call, ENDS[counted.effect], counted.total, self._now())
         if self.ledger.emptied > emptied:
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -1,4 +1,4 @@
-"""Calls to the quota counter: what each end of a call proves; late answers settle what was uncertain."""
+"""Calls to the quota counter: what is known of a call's effect however it ends, and late answers."""
 
 from __future__ import annotations
 
@@ -14,35 +14,35 @@
 
 from lab.counter import Door, Store, Way
 from standflow.counter.client import (
-    MAX_BODY,
-    MOST_QUIET,
-    PIPELINE,
+    MAX_BODY_BYTES,
+    MAX_SILENT_CONNECTIONS,
+    PIPELINE_DEPTH,
     CallEffect,
     CallResult,
     CounterClient,
-    encode,
-    read_total,
+    encode_request,
+    parse_total,
 )
 from standflow.net.loop import Loop
 from tests.wire import LIMIT, listener, read_until, turn_until
 
 
 class Rig:
-    """A client and what its calls came to."""
+    """A client and the results of its calls."""
 
-    def __init__(self, address: tuple[str, int], limit: float = LIMIT, most: int = 32) -> None:
+    def __init__(self, address: tuple[str, int], timeout: float = LIMIT, max_connections: int = 32) -> None:
         self.log: list[str] = []
         self.loop = Loop(self.log.append)
-        self.client = CounterClient(self.loop, self.log.append, address, limit, most)
-        self.ends: list[list[CallResult]] = []
+        self.client = CounterClient(self.loop, self.log.append, address, timeout, max_connections)
+        self.calls: list[list[CallResult]] = []
 
-    def add(self, name: str = "a", amount: float = 1.0, life: float = 60.0) -> list[CallResult]:
-        ends: list[CallResult] = []
-        self.ends.append(ends)
-        self.client.add(name, amount, life, ends.append)
-        return ends
+    def add(self, name: str = "a", amount: float = 1.0, ttl: float = 60.0) -> list[CallResult]:
+        results: list[CallResult] = []
+        self.calls.append(results)
+        self.client.add(name, amount, ttl, results.append)
+        return results
 
-    def until(self, *calls: list[CallResult], count: int = 1) -> list[CallResult]:
+    def results(self, *calls: list[CallResult], count: int = 1) -> list[CallResult]:
         turn_until(self.loop, lambda: all(len(call) >= count for call in calls))
         return [call[count - 1] for call in calls]
 
@@ -51,15 +51,15 @@
 
 
 @contextmanager
-def rig(address: tuple[str, int], limit: float = LIMIT, most: int = 32) -> Iterator[Rig]:
-    made = Rig(address, limit, most)
+def rig(address: tuple[str, int], timeout: float = LIMIT, max_connections: int = 32) -> Iterator[Rig]:
+    made = Rig(address, timeout, max_connections)
     yield made
     made.client.close()
     assert not [line for line in made.log if "fault" in line]
-    for ends in made.ends:  # told once, and a second time only to settle what was uncertain
-        assert [end.late for end in ends] in ([False], [False, True])
-        assert len(ends) == 1 or (
-            ends[0].effect is CallEffect.UNCERTAIN and ends[1].effect is not CallEffect.UNCERTAIN
+    for results in made.calls:  # one result, and a second one only to settle an uncertain call
+        assert [result.late for result in results] in ([False], [False, True])
+        assert len(results) == 1 or (
+            results[0].effect is CallEffect.UNCERTAIN and results[1].effect is not CallEffect.UNCERTAIN
         )
     made.loop.epoll.close()
 
@@ -70,7 +70,7 @@
     return sock
 
 
-def test_amounts_add_up_by_name_and_names_end_with_their_lives() -> None:
+def test_amounts_add_up_by_name_until_the_name_expires() -> None:
     with Door(Store(parts=3)) as door, rig(door.address) as at:
         calls = [
             at.add("a", 2.5),
@@ -79,68 +79,70 @@
             at.add("a", 0.0),
             at.add("c", 1, 0.05),
         ]
-        assert [(end.effect, end.total) for end in at.until(*calls)] == [
+        assert [(end.effect, end.total) for end in at.results(*calls)] == [
             (CallEffect.ADDED, total) for total in (2.5, 4.0, 1.5, 1.5, 1.0)
         ]
         time.sleep(0.06)
-        assert at.until(at.add("c", 2.0))[0].total == 2.0
-        assert len(at.client.connections) == 1  # written one behind another
-        assert at.until(at.add("d", 1234567.89))[0].total == 1234568  # seven digits are exact
+        assert at.results(at.add("c", 2.0))[0].total == 2.0
+        assert len(at.client.connections) == 1  # the calls are pipelined
+        assert at.results(at.add("d", 1234567.89))[0].total == 1234568  # seven digits are exact
 
 
 def test_many_calls_at_once_share_a_bounded_number_of_connections() -> None:
-    with Door(Store(per_second=1e6), most=2) as door, rig(door.address, most=2) as at:
-        calls = [at.add("a") for _ in range(5 * PIPELINE)]
-        totals = [end.total for end in at.until(*calls)]
-        assert sorted(totals, key=lambda total: total or 0) == [float(n + 1) for n in range(5 * PIPELINE)]
+    with Door(Store(per_second=1e6), most=2) as door, rig(door.address, max_connections=2) as at:
+        calls = [at.add("a") for _ in range(5 * PIPELINE_DEPTH)]
+        totals = [end.total for end in at.results(*calls)]
+        assert sorted(totals, key=lambda total: total or 0) == [
+            float(n + 1) for n in range(5 * PIPELINE_DEPTH)
+        ]
         assert len(at.client.connections) == 2
 
 
-def test_a_spoilt_total_takes_fewer_and_fewer_calls_along() -> None:
+def test_invalid_totals_affect_fewer_and_fewer_pipelined_calls() -> None:
     with Door(Store(per_second=1e6), Way(spoil=1.0)) as door, rig(door.address) as at:
         known = []
         for _ in range(5):
-            ends = at.until(*[at.add("a") for _ in range(PIPELINE)])
+            ends = at.results(*[at.add("a") for _ in range(PIPELINE_DEPTH)])
             known.append(sum(end.effect is CallEffect.ADDED for end in ends))
-        assert known[0] < PIPELINE / 4
-        assert known[-1] == PIPELINE  # each on a connection of its own: all that is lost is the total
+        assert known[0] < PIPELINE_DEPTH / 4
+        assert known[-1] == PIPELINE_DEPTH  # each has a connection of its own, so only its total is lost
         door.way.spoil = 0.0
-        assert at.until(at.add("a"))[0].total is not None
+        assert at.results(at.add("a"))[0].total is not None
 
 
-def test_a_call_turned_away_has_added_nothing_and_says_so() -> None:
+def test_a_rejected_call_is_reported_as_not_added_and_overloaded() -> None:
     with Door(Store(per_second=10.0, line=0.05)) as door, rig(door.address) as at:
-        first, second = at.until(at.add("a"), at.add("a"))
-        assert (first.effect, first.full) == (CallEffect.ADDED, False)
-        assert (second.effect, second.full, second.total) == (CallEffect.NOT_ADDED, True, None)
+        first, second = at.results(at.add("a"), at.add("a"))
+        assert (first.effect, first.overloaded) == (CallEffect.ADDED, False)
+        assert (second.effect, second.overloaded, second.total) == (CallEffect.NOT_ADDED, True, None)
 
 
-def test_a_slow_answer_is_uncertain_in_time_and_settled_late() -> None:
+def test_a_slow_answer_is_uncertain_at_the_timeout_and_settled_late() -> None:
     with Door(Store(), Way(delay=0.1)) as door, rig(door.address, 0.02) as at:
         call = at.add("a", 3.0)
-        assert at.until(call)[0].effect is CallEffect.UNCERTAIN
-        assert 0.02 <= call[0].took < 0.09
-        assert at.until(call, count=2)[0] == CallResult(CallEffect.ADDED, 3.0, call[1].took, False, True)
-        assert len(at.client.connections) == 1  # it is slow, and serves on
+        assert at.results(call)[0].effect is CallEffect.UNCERTAIN
+        assert 0.02 <= call[0].latency < 0.09
+        assert at.results(call, count=2)[0] == CallResult(CallEffect.ADDED, 3.0, call[1].latency, False, True)
+        assert len(at.client.connections) == 1  # a slow connection stays in use
 
 
-def test_an_answer_that_never_comes_stays_uncertain_and_those_behind_it_too() -> None:
+def test_a_call_that_is_never_answered_stays_uncertain_and_so_do_those_pipelined_behind_it() -> None:
     with Door(Store(parts=1), Way(cut={0})) as door, rig(door.address, 0.02) as at:
-        assert [end.effect for end in at.until(at.add("a"), at.add("b"))] == [CallEffect.UNCERTAIN] * 2
+        assert [end.effect for end in at.results(at.add("a"), at.add("b"))] == [CallEffect.UNCERTAIN] * 2
         turn_until(at.loop, lambda: at.reasons() == ["silent"])
         door.way.cut.clear()
-        assert at.until(at.add("a"))[0].total == 1.0  # on another connection
+        assert at.results(at.add("a"))[0].total == 1.0  # on a new connection
 
 
-def test_after_a_connection_fell_silent_calls_take_another_one() -> None:
+def test_calls_avoid_a_connection_that_has_become_silent() -> None:
     with listener() as hop, rig(hop.getsockname(), 0.02) as at:
         lost = at.add("a")
         silent = accepted(hop)
-        assert at.until(lost)[0].effect is CallEffect.UNCERTAIN
+        assert at.results(lost)[0].effect is CallEffect.UNCERTAIN
         calls = [at.add("a")]
 
         def written() -> bool:
-            if calls[-1]:  # on a busy machine it may be given up before it is written
+            if calls[-1]:  # on a busy machine a call may time out before it is written
                 calls.append(at.add("a"))
             return len(at.client.connections) > 1 and bool(at.client.connections[1].calls)
 
@@ -150,15 +152,15 @@
             turn_until(at.loop, lambda: any(end.total == 7.0 for call in calls for end in call))
 
 
-def test_a_counter_that_answers_nobody_is_sent_few_connections() -> None:
+def test_few_connections_are_opened_to_a_counter_that_does_not_answer() -> None:
     with Door(Store(parts=1), Way(cut={0})) as door, rig(door.address, 0.02) as at:
-        for _ in range(3 * MOST_QUIET):
-            at.until(at.add("a"))
-        assert len(at.client.connections) <= MOST_QUIET
+        for _ in range(3 * MAX_SILENT_CONNECTIONS):
+            at.results(at.add("a"))
+        assert len(at.client.connections) <= MAX_SILENT_CONNECTIONS
 
 
 @pytest.mark.parametrize(
-    ("answer", "how", "reason"),
+    ("answer", "effect", "reason"),
     [
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nno!", CallEffect.ADDED, "bad_total"),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"9" * 99, CallEffect.ADDED, "bad_total"),
@@ -181,51 +183,55 @@
         (b"", CallEffect.UNCERTAIN, "peer_closed"),
     ],
 )
-def test_each_answer_proves_what_it_proves(answer: bytes, how: CallEffect, reason: str) -> None:
+def test_each_answer_settles_its_call_and_ends_the_connection(
+    answer: bytes, effect: CallEffect, reason: str
+) -> None:
     with listener() as hop, rig(hop.getsockname()) as at:
         call = at.add("a", 2.0)
         with accepted(hop) as sock:
             turn_until(at.loop, lambda: at.client.connections[0].calls)
-            said = read_until(sock, b"\r\n\r\n")
-            assert said.startswith(b"POST /v1/count/a?add=2&ttl_ms=60000 HTTP/1.1\r\n")
+            written = read_until(sock, b"\r\n\r\n")
+            assert written.startswith(b"POST /v1/count/a?add=2&ttl_ms=60000 HTTP/1.1\r\n")
             sock.sendall(answer)
-        end = at.until(call)[0]
-        assert end.effect is how
-        assert (end.total is not None) == (b"\r\n\r\n7" in answer)
+        result = at.results(call)[0]
+        assert result.effect is effect
+        assert (result.total is not None) == (b"\r\n\r\n7" in answer)
         turn_until(at.loop, lambda: at.reasons() == [reason])
 
 
-def test_what_was_not_written_whole_has_added_nothing() -> None:
+def test_a_call_that_is_not_fully_written_is_not_added() -> None:
     with listener() as hop:
         address = hop.getsockname()
     with rig(address) as at:
-        assert at.until(at.add("a"))[0].effect is CallEffect.NOT_ADDED
+        assert at.results(at.add("a"))[0].effect is CallEffect.NOT_ADDED
         assert at.reasons() == ["connect_failed:ECONNREFUSED"]
-    with socket.socket() as full:  # a connection that never comes up: given up in time, and never sent later
+    with (
+        socket.socket() as full
+    ):  # the connection is never established; the call times out and is not sent later
         full.bind(("127.0.0.1", 0))
         full.listen(0)
-        held = [socket.socket() for _ in range(3)]
-        for sock in held:
+        queued = [socket.socket() for _ in range(3)]
+        for sock in queued:
             sock.setblocking(False)
             sock.connect_ex(full.getsockname())
         with rig(full.getsockname(), 0.02) as at:
-            assert at.until(at.add("a"))[0].effect is CallEffect.NOT_ADDED
-            assert not any(one.load for one in at.client.connections)
-        for sock in held:
+            assert at.results(at.add("a"))[0].effect is CallEffect.NOT_ADDED
+            assert not any(one.open_calls for one in at.client.connections)
+        for sock in queued:
             sock.close()
 
 
-def test_a_call_that_is_stuck_half_written_ends_its_connection_and_has_added_nothing() -> None:
-    class Narrow:
-        """A socket that takes ten bytes and no more."""
+def test_a_call_that_stays_partly_written_ends_its_connection_and_is_not_added() -> None:
+    class BlockingSocket:
+        """A socket that accepts ten bytes and then blocks."""
 
         def __init__(self, sock: socket.socket) -> None:
-            self.sock, self.room = sock, 10
+            self.sock, self.capacity = sock, 10
 
         def send(self, data: bytes) -> int:
-            if not self.room:
+            if not self.capacity:
                 raise BlockingIOError
-            taken, self.room = min(self.room, len(data)), 0
+            taken, self.capacity = min(self.capacity, len(data)), 0
             return self.sock.send(data[:taken])
 
         def close(self) -> None:
@@ -233,16 +239,16 @@
 
     store = Store()
     with Door(store) as door, rig(door.address, 0.05) as at:
-        assert at.until(at.add("a"))[0].effect is CallEffect.ADDED
+        assert at.results(at.add("a"))[0].effect is CallEffect.ADDED
         connection = at.client.connections[0]
-        connection.sock = Narrow(connection.sock)  # type: ignore[assignment]
-        assert at.until(at.add("a"))[0].effect is CallEffect.NOT_ADDED
+        connection.sock = BlockingSocket(connection.sock)  # type: ignore[assignment]
+        assert at.results(at.add("a"))[0].effect is CallEffect.NOT_ADDED
         assert at.reasons() == ["stuck"]
         assert store.calls == 1
 
 
-def test_a_cut_at_any_byte_of_the_answers_settles_each_call_truly() -> None:
-    """Two calls on one connection; the first is added for sure once its status has come, and so on."""
+def test_a_connection_closed_at_any_byte_of_the_answers_settles_each_call_correctly() -> None:
+    """Of two pipelined calls, each is known to be added once its response head has arrived."""
     one = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n5"
     head = one.index(b"\r\n\r\n") + 4
     for cut in range(2 * len(one) + 1):
@@ -256,13 +262,16 @@
                     % (hop.getsockname()[0].encode(), hop.getsockname()[1]),
                 )
                 sock.sendall((one + one)[:cut])
-            for place, end in enumerate(at.until(*calls)):
-                got = cut - place * len(one)
-                assert end.effect is (CallEffect.ADDED if got >= head else CallEffect.UNCERTAIN), (cut, place)
-                assert end.total == (5.0 if got >= len(one) else None), (cut, place)
+            for index, result in enumerate(at.results(*calls)):
+                got = cut - index * len(one)
+                assert result.effect is (CallEffect.ADDED if got >= head else CallEffect.UNCERTAIN), (
+                    cut,
+                    index,
+                )
+                assert result.total == (5.0 if got >= len(one) else None), (cut, index)
 
 
-def test_another_address_is_used_at_once_and_what_was_open_ends_as_its_bytes_say() -> None:
+def test_a_new_address_is_used_at_once_and_open_calls_are_settled_by_their_bytes() -> None:
     with listener() as old, Door(Store()) as door, rig(old.getsockname()) as at:
         call = at.add("a")
         with accepted(old) as sock:
@@ -271,35 +280,35 @@
             at.client.switch_address(door.address)
             assert call[0].effect is CallEffect.UNCERTAIN
             assert at.reasons() == ["moved"]
-            assert at.until(at.add("a"))[0].total == 1.0
+            assert at.results(at.add("a"))[0].total == 1.0
 
 
-def test_an_idle_connection_that_the_counter_closes_costs_no_call() -> None:
+def test_no_call_is_lost_when_the_counter_closes_an_idle_connection() -> None:
     with Door(Store(), idle=0.02) as door, rig(door.address) as at:
-        assert at.until(at.add("a"))[0].total == 1.0
+        assert at.results(at.add("a"))[0].total == 1.0
         turn_until(at.loop, lambda: at.reasons() == ["peer_closed"])
-        assert at.until(at.add("a"))[0].total == 2.0
+        assert at.results(at.add("a"))[0].total == 2.0
 
 
-@given(st.binary(max_size=MAX_BODY + 2))
-def test_a_total_is_a_number_or_nothing(body: bytes) -> None:
-    total = read_total(body)
+@given(st.binary(max_size=MAX_BODY_BYTES + 2))
+def test_a_total_is_a_valid_number_or_none(body: bytes) -> None:
+    total = parse_total(body)
     assert total is None or abs(float(body) - total) <= abs(total) * 1e-9
 
 
 @settings(deadline=None)
 @given(st.text(max_size=70), st.floats(), st.floats(-10, 100))
-def test_a_call_is_one_that_the_counter_takes_or_none(name: str, amount: float, life: float) -> None:
+def test_a_call_is_valid_for_the_counter_or_an_error(name: str, amount: float, ttl: float) -> None:
     try:
-        said = encode(name, amount, life, ("127.0.0.1", 1))
+        encoded = encode_request(name, amount, ttl, ("127.0.0.1", 1))
     except ValueError:
         return
     server = h11.Connection(our_role=h11.SERVER)
-    server.receive_data(said)
+    server.receive_data(encoded)
     request = server.next_event()
     assert isinstance(request, h11.Request)
     path, _, query = request.target.decode().partition("?")
     assert path == f"/v1/count/{name}"
-    added, ttl = query.split("&")
+    added, ttl_ms = query.split("&")
     assert abs(float(added.removeprefix("add=")) - amount) <= 1e-6
-    assert 1 <= int(ttl.removeprefix("ttl_ms=")) <= 60000
+    assert 1 <= int(ttl_ms.removeprefix("ttl_ms=")) <= 60000
