--- a/standflow/assembly.py
+++ b/standflow/assembly.py
@@ -375,7 +375,7 @@
         options, counter = self.config.witness, self.config.counter
         if options is None or counter is None:
             return None
-        from standflow.counter.modes import Modes
+        from standflow.counter.modes import ModeTracker
         from standflow.counter.reconciliation import CounterReconciliation
 
         reconciliation = CounterReconciliation(
@@ -384,7 +384,7 @@
             options,
             counter,
             self._use_told,
-            Modes(self.driver.module.epoch, self.loop.now()),
+            ModeTracker(self.driver.module.epoch, self.loop.now()),
             self.driver.heard,
         )
         self.driver.noted = reconciliation.record_use
--- a/standflow/counter/modes.py
+++ b/standflow/counter/modes.py
@@ -51,7 +51,7 @@
             self.counts, self.against = speaks, math.inf
 
 
-class Modes:
+class ModeTracker:
     """The mode of one ingress; it begins with neither."""
 
     def __init__(self, epoch: float, now: float) -> None:
--- a/standflow/counter/budget.py
+++ b/standflow/counter/rate_limit.py
@@ -11,7 +11,7 @@
 LEAST = 0.02  # of the most
 
 
-class Budget:
+class AdaptiveRateLimit:
     """A rate of calls a second that is at most what the operator states."""
 
     def __init__(self, most: float, now: float) -> None:
--- a/standflow/counter/reconciliation.py
+++ b/standflow/counter/reconciliation.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable, Iterable
 
 from standflow.config.model import ReconciliationOptions
-from standflow.counter.budget import Budget
 from standflow.counter.client import CallEffect, CallResult, CounterClient
 from standflow.counter.health import Health
 from standflow.counter.ledger import LIFE, Call, End, Ledger, RegisterReading
-from standflow.counter.modes import Modes
+from standflow.counter.modes import ModeTracker
+from standflow.counter.rate_limit import AdaptiveRateLimit
 from standflow.net.loop import Loop
 
 ENDS = {CallEffect.ADDED: End.ADDED, CallEffect.NOT_ADDED: End.NOT_ADDED, CallEffect.UNCERTAIN: End.UNCERTAIN}
@@ -30,7 +30,7 @@
         options: ReconciliationOptions,
         address: tuple[str, int],
         told: Callable[[RegisterReading], None],
-        modes: Modes,
+        modes: ModeTracker,
         heard: Callable[[], Iterable[float]],
     ) -> None:
         """`heard`: when each other ingress was heard last, of the loop's clock."""
@@ -39,7 +39,7 @@
         self.client = CounterClient(loop, log, address)
         self.ledger = Ledger()
         self.health = Health()
-        self.budget = Budget(options.calls_per_second, loop.now())
+        self.budget = AdaptiveRateLimit(options.calls_per_second, loop.now())
         # One offset for the whole run: steps of the wall clock must not reach the periods.
         self.offset = time.time() - time.monotonic()
         loop.every(options.interval, self._tick)
--- a/tests/test_counter_program.py
+++ b/tests/test_counter_program.py
@@ -13,8 +13,8 @@
 from lab.callers import command, kind_of, read
 from lab.counter import Door, Store, Way
 from lab.processes import LIMIT, Ingress
-from standflow.counter.budget import FALL, PAUSE, Budget
 from standflow.counter.ledger import PERIOD, decode
+from standflow.counter.rate_limit import FALL, PAUSE, AdaptiveRateLimit
 
 FILE = """
 name      n%d
@@ -167,7 +167,7 @@
 
 
 def test_a_counter_that_turns_calls_away_is_asked_less_and_later_more_again() -> None:
-    budget, now, made = Budget(100.0, 0.0), 0.0, 0
+    budget, now, made = AdaptiveRateLimit(100.0, 0.0), 0.0, 0
     for _ in range(100):
         now += 0.01
         for _ in range(budget.take(now)):
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -11,7 +11,7 @@
 from standflow.config.model import ReconciliationOptions
 from standflow.counter.client import CallEffect, CallResult
 from standflow.counter.health import ENTER, HEARD, LEAVE, NAMES, Health, State
-from standflow.counter.modes import Modes
+from standflow.counter.modes import ModeTracker
 from standflow.counter.reconciliation import CounterReconciliation
 
 TEN = [f"n{n}" for n in range(10)]
@@ -83,7 +83,7 @@
         options,
         ("127.0.0.1", 1),
         lambda told: None,
-        Modes(0.1, 0.0),
+        ModeTracker(0.1, 0.0),
         heard,
     )
     reconciliation.offset, reconciliation.client = 0.0, SimpleNamespace(add=lambda *_: None)  # type: ignore[assignment]
--- a/tests/test_modes.py
+++ b/tests/test_modes.py
@@ -11,7 +11,7 @@
 from hoistfold import interface as i
 from lab.quotas import Try, judge
 from standflow.counter.health import State
-from standflow.counter.modes import CALM, GIVEN_UP, TRUSTED, WINDOW, Fleet, Mode, Modes, age, bound
+from standflow.counter.modes import CALM, GIVEN_UP, TRUSTED, WINDOW, Fleet, Mode, ModeTracker, age, bound
 from tests.test_witness import Witnessed
 from tests.world import BASIC
 
@@ -19,7 +19,7 @@
 
 
 def test_a_mode_is_left_after_a_moment_and_entered_again_after_a_longer_one() -> None:
-    modes, now, seen = Modes(0.1, 0.0), 0.0, list[tuple[float, Mode]]()
+    modes, now, seen = ModeTracker(0.1, 0.0), 0.0, list[tuple[float, Mode]]()
 
     def play(seconds: float, ring: bool, counter: State) -> None:
         nonlocal now
