--- a/standflow/counter/reconciliation.py
+++ b/standflow/counter/reconciliation.py
@@ -70,10 +70,10 @@
         before_mode = self.modes.mode
         if self.modes.look(self.heard(), self.health.state, now) is not None:
             self.log(f"quotas: {before_mode.value} -> {self.modes.mode.value}")
-        self.budget.allow(self.options.calls_per_second * self.modes.share(now))
+        self.budget.set_max_rate(self.options.calls_per_second * self.modes.share(now))
         # Alone nobody comes near a quota: without the ring every customer is asked for, the fullest first.
         near = self.options.min_utilization if self.modes.ring.counts else 0.0
-        for call in self.ledger.due_calls(self._now(), self.budget.take(now), near):
+        for call in self.ledger.due_calls(self._now(), self.budget.available(now), near):
             self.budget.spend()
             self.client.add(call.name, call.amount, LIFE, lambda end, call=call: self._ended(call, end))  # type: ignore[misc]
 
@@ -85,7 +85,7 @@
             self.health.failed(call.name, now)
         if counted.late:
             return  # the register is read after all that may still land; a late word is older than that
-        self.budget.ended(counted.overloaded, now)
+        self.budget.record_result(counted.overloaded, now)
         emptied, excess = self.ledger.emptied, self.ledger.excess
         told = self.ledger.ended(call, ENDS[counted.effect], counted.total, self._now())
         if self.ledger.emptied > emptied:
--- a/tests/test_counter_program.py
+++ b/tests/test_counter_program.py
@@ -1,4 +1,4 @@
-"""Ingresses without a ring between them, and the counter as their only witness."""
+"""Ingresses without peer messages, which share quotas through the counter alone."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from lab.counter import Door, Store, Way
 from lab.processes import LIMIT, Ingress
 from standflow.counter.ledger import PERIOD, decode
-from standflow.counter.rate_limit import FALL, PAUSE, AdaptiveRateLimit
+from standflow.counter.rate_limit import DECREASE_FACTOR, DECREASE_INTERVAL_SECONDS, AdaptiveRateLimit
 
 FILE = """
 name      n%d
@@ -49,8 +49,8 @@
     try:
         for number in range(2):
             path = folder / f"{number}.conf"
-            places = [f"{one.address[0]}:{one.address[1]}" for one in (door, box)]
-            path.write_text(FILE % (number, number, *places))
+            addresses = [f"{one.address[0]}:{one.address[1]}" for one in (door, box)]
+            path.write_text(FILE % (number, number, *addresses))
             made.append(Ingress(path))
         yield made
     finally:
@@ -59,7 +59,7 @@
 
 
 def served(one: Ingress, tries: int, name: str) -> int:
-    """How many of some requests were served, all for one customer of both ingresses."""
+    """Sends requests of one tenant, whose ring has both ingresses, and counts those that are served."""
     count = 0
     with socket.create_connection(one.address(), 5.0) as sock:
         for serial in range(tries):
@@ -70,34 +70,34 @@
 
 
 def until(met: Callable[[], object]) -> None:
-    """Waits for something; no verdict hangs on how long it takes."""
+    """Waits for a condition. The timeout is generous, so that a slow machine fails no test."""
     end = time.monotonic() + LIMIT
     while not met():
         assert time.monotonic() < end
         time.sleep(0.02)
 
 
-def held(door: Door, place: int) -> int:
-    """The greatest running count that the counter holds of a ring place, in units."""
+def units_in_counter(door: Door, ring_index: int) -> int:
+    """The highest running count in the counter for a ring index, in units."""
     found = [
-        decode(b"", place, number.total)
+        decode(b"", ring_index, number.total)
         for name, number in list(door.store.numbers.items())
-        if name.endswith(f".{place}")
+        if name.endswith(f".{ring_index}")
     ]
-    return max((told.count for told in found if told is not None), default=0) // 4
+    return max((reading.count for reading in found if reading is not None), default=0) // 4
 
 
-def read_by_the_other(door: Door, place: int) -> int:
-    """How often the register of a ring place was read; its own ingress only adds to it."""
+def read_by_the_other(door: Door, ring_index: int) -> int:
+    """How often the register of a ring index was read, almost always by the other ingress."""
     with door.store.lock:
-        return sum(count for name, count in door.store.reads.items() if name.endswith(f".{place}"))
+        return sum(count for name, count in door.store.reads.items() if name.endswith(f".{ring_index}"))
 
 
-def test_the_counter_holds_a_quota_over_two_ingresses_that_hear_nothing_of_each_other(tmp_path: Path) -> None:
+def test_the_counter_enforces_a_quota_over_two_ingresses_without_peer_messages(tmp_path: Path) -> None:
     with Box() as box, Door(Store()) as door, pair(tmp_path, box, door) as (first, second):
         began = time.monotonic()
         two = served(second, 1, "b")
-        until(lambda: held(door, 1) == two == 1)
+        until(lambda: units_in_counter(door, 1) == two == 1)
         one = 0
 
         def most_of_the_burst() -> bool:
@@ -105,23 +105,27 @@
             one += served(first, 1, f"a{time.monotonic_ns()}x")
             return one >= 16
 
-        until(most_of_the_burst)  # the fallback without a word from the other lets in four at once
-        until(lambda: held(door, 0) == one)
+        until(
+            most_of_the_burst
+        )  # in steps: before the counter is read, the fallback admits only four at once
+        until(lambda: units_in_counter(door, 0) == one)
         before = read_by_the_other(door, 0)
-        until(lambda: read_by_the_other(door, 0) >= before + 3)  # what it was told of that is in force
+        until(lambda: read_by_the_other(door, 0) >= before + 3)  # the second ingress has applied the total
         two += served(second, 30, "c")
         assert one + two <= 20 + 1 + 0.2 * (time.monotonic() - began)
 
 
-def test_a_reload_moves_to_an_empty_counter_and_takes_the_use_along(
+def test_after_a_reload_to_an_empty_counter_the_use_is_written_to_it(
     tmp_path: Path,
 ) -> None:
     with Box() as box, Door(Store()) as door, Door(Store()) as other, pair(tmp_path, box, door) as both:
         first, second = both
         while time.time() % PERIOD > PERIOD - 6.0:
-            time.sleep(0.1)  # a new period's register is empty anyway, so none would be seen to be emptied
+            time.sleep(
+                0.1
+            )  # a register is empty at the start of a period, so an emptied one would go unnoticed
         assert served(first, 2, "a") == 2
-        until(lambda: held(door, 0) == 2)
+        until(lambda: units_in_counter(door, 0) == 2)
         for one, path in zip(both, ("0.conf", "1.conf"), strict=True):
             text = (tmp_path / path).read_text()
             moved = text.replace(f":{door.address[1]}\n", f":{other.address[1]}\n")
@@ -129,62 +133,62 @@
             (tmp_path / path).write_text(moved)
             one.signal(signal.SIGHUP)
             one.logged("reload: done")
-            if one is first:  # moved together, either may find it empty, and the other finds it refilled
-                until(lambda: held(other, 0) == 2)  # the empty one is refilled by who knows
+            if one is first:  # if both moved at once, either might find it empty, and the other refilled
+                until(lambda: units_in_counter(other, 0) == 2)  # the first ingress has rewritten its register
                 first.logged("counter: good -> emptied", 10.0)
-        until(lambda: held(other, 0) == 2)
+        until(lambda: units_in_counter(other, 0) == 2)
         assert second.process.poll() is None
 
 
-def test_a_restarted_ingress_learns_what_its_earlier_life_used(tmp_path: Path) -> None:
+def test_a_restarted_ingress_learns_the_use_of_its_previous_run(tmp_path: Path) -> None:
     with Box() as box, Door(Store()) as door, pair(tmp_path, box, door) as (first, _):
         assert served(first, 3, "a") == 3
-        until(lambda: held(door, 0) == 3)
+        until(lambda: units_in_counter(door, 0) == 3)
         first.process.kill()
         first.process.wait()
         again = Ingress(tmp_path / "0.conf")
         try:
             assert served(again, 1, "b") == 1
-            until(lambda: held(door, 0) == 4)  # three of its earlier life, and one
+            until(lambda: units_in_counter(door, 0) == 4)  # three of the previous run, and one
         finally:
             again.end()
 
 
-def test_a_counter_that_says_nothing_delays_no_answer(tmp_path: Path) -> None:
+def test_a_counter_that_does_not_answer_delays_no_request(tmp_path: Path) -> None:
     with Box() as box, Door(Store(), Way(cut={0})) as door, pair(tmp_path, box, door) as (first, _):
         assert served(first, 1, "a") == 1
         first.logged("end counter silent", 10.0)
 
 
-def test_a_counter_that_is_gone_is_told_and_delays_no_answer(tmp_path: Path) -> None:
+def test_an_unreachable_counter_is_logged_and_delays_no_request(tmp_path: Path) -> None:
     with Box() as box, Door(Store()) as door, pair(tmp_path, box, door) as (first, _):
         assert served(first, 1, "a") == 1
-        until(lambda: held(door, 0) == 1)
+        until(lambda: units_in_counter(door, 0) == 1)
         door.close()
         first.logged(r"counter: \w+ -> gone", 10.0)
         first.logged(r"quotas: \w+ -> neither", 10.0)
         assert served(first, 1, "b") == 1
 
 
-def test_a_counter_that_turns_calls_away_is_asked_less_and_later_more_again() -> None:
-    budget, now, made = AdaptiveRateLimit(100.0, 0.0), 0.0, 0
+def test_rejections_lower_the_call_rate_and_it_recovers_later() -> None:
+    limit, now, made = AdaptiveRateLimit(100.0, 0.0), 0.0, 0
     for _ in range(100):
         now += 0.01
-        for _ in range(budget.take(now)):
-            budget.spend()
+        for _ in range(limit.available(now)):
+            limit.spend()
             made += 1
     assert 95 <= made <= 101
-    budget.ended(True, now)
-    budget.ended(True, now + PAUSE / 2)  # of the same burst
-    assert budget.rate == FALL * 100.0
+    limit.record_result(True, now)
+    limit.record_result(True, now + DECREASE_INTERVAL_SECONDS / 2)  # counts as the same rejection
+    assert limit.rate == DECREASE_FACTOR * 100.0
     for _ in range(20):
-        now += PAUSE
-        budget.ended(True, now)
-    assert budget.rate == 2.0
-    budget.allow(10.0)
-    assert (budget.rate, budget.most) == (0.2, 10.0)
-    budget.allow(100.0)
-    assert budget.rate == 2.0
-    budget.ended(False, now)
-    assert budget.take(now + 100.0) == 100
-    assert budget.rate == 100.0
+        now += DECREASE_INTERVAL_SECONDS
+        limit.record_result(True, now)
+    assert limit.rate == 2.0
+    limit.set_max_rate(10.0)
+    assert (limit.rate, limit.max_rate) == (0.2, 10.0)
+    limit.set_max_rate(100.0)
+    assert limit.rate == 2.0
+    limit.record_result(False, now)
+    assert limit.available(now + 100.0) == 100
+    assert limit.rate == 100.0
