--- a/lab/bench_counter.py
+++ b/lab/bench_counter.py
@@ -38,7 +38,7 @@
 INGRESSES = 3
 RATE, BURST = 4.0, 12.0
 SPAN = 26.0  # seconds that tenants ask for
-GOES_AT = 12.0  # seconds until a case's failure begins: by then the counter is asked rarely (modes.CALM)
+GOES_AT = 12.0  # seconds until a case's failure, when few calls are made (modes.CROSS_CHECK_SHARE)
 WEIGHTS = (0.5, 0.3, 0.2)  # of a tenant's requests, through which ingress
 AT_ONCE = 6  # cases
 PARTS = 2  # of the counter
--- a/standflow/counter/health.py
+++ b/standflow/counter/health.py
@@ -1,9 +1,10 @@
-"""How the quota counter fares, from outcomes, latencies and totals alone. No I/O; seconds of one clock.
+"""Health of the quota counter, judged by the results, latencies and totals of calls alone. No I/O.
 
-Nothing tells which part of the counter a name lies on. Names that fail together while others are answered
-are taken for one part that is gone; names never move during their life. A state is entered once what speaks
-for it has lasted a moment, and left once that has been absent for longer, so a counter that hovers at its
-time limit does not flap.
+The counter is partitioned, and nothing tells which partition holds a name. Names that fail together while
+others are answered are taken to be on an unreachable partition; a name never moves during its lifetime.
+
+A state is entered after its signs have persisted for a short time, and left after they have been absent for a
+longer time, so that a counter close to a threshold does not flap. Times are in seconds on one clock.
 """
 
 from __future__ import annotations
@@ -11,103 +12,108 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-LIMIT = 0.08  # seconds after which a call is given up
-SLOW_FROM, SLOW_UNTIL = 0.75 * LIMIT, 0.5 * LIMIT  # mean seconds of an answer: entered above, left below
-ENTER, LEAVE = 0.5, 2.0  # seconds for which a state's signs last, or are absent, before it changes
-HEARD = 3.0  # seconds for which a name's last word counts
-WEIGHT = 0.1  # of one answer in the mean
-MOST = 0.9  # of the names fail: the counter is gone, not a part of it
-PART = 0.1  # of the names fail: a part is gone
-NAMES = 4096  # names kept at most, the latest
+CALL_TIMEOUT_SECONDS = 0.08
+# Mean latency: the slow state is entered above the first, and left below the second.
+SLOW_ABOVE_SECONDS, SLOW_UNTIL_SECONDS = 0.75 * CALL_TIMEOUT_SECONDS, 0.5 * CALL_TIMEOUT_SECONDS
+ENTER_SECONDS, RECOVER_SECONDS = 0.5, 2.0  # how long the signs last, or are absent, before the state changes
+NAME_EXPIRY_SECONDS = 3.0  # after the last result of a name
+EWMA_WEIGHT = 0.1  # of one latency in the moving average
+UNREACHABLE_FRACTION = 0.9  # of the names fail: the whole counter is unreachable
+PARTITION_FRACTION = 0.1  # of the names fail: a partition is unreachable
+MAX_NAMES = 4096  # the most recent ones are kept
 
 
 class State(Enum):
-    """What a counter is like."""
+    """The state of a counter."""
 
-    GOOD = "good"
+    HEALTHY = "good"
     SLOW = "slow"
-    PART_GONE = "part_gone"
-    GONE = "gone"
+    PARTLY_UNREACHABLE = "part_gone"
+    UNREACHABLE = "gone"
     EMPTIED = "emptied"
-    DISAGREEING = "disagreeing"
+    INCONSISTENT = "disagreeing"
 
 
 @dataclass(slots=True)
-class Name:
-    """The last that was heard of a name."""
+class NameStatus:
+    """The most recent results for one name."""
 
-    at: float
-    failed: int = 0  # in a row
-    fell: float = float("-inf")  # when its total was last below what it surely held
-    rose: float = float("-inf")  # when it was above what was ever put there
+    last_seen: float
+    consecutive_failures: int = 0
+    shortfall_at: float = float("-inf")  # when the total was last below its confirmed value
+    excess_at: float = float("-inf")  # when the total was last above everything ever added
 
 
 @dataclass(slots=True)
 class Health:
-    """The state of one counter, as one ingress sees it."""
-
-    state: State = State.GOOD
-    generation: int = 0  # how often it was found emptied: what was held before counts for nothing after
-    mean: float = 0.0  # seconds of an answer
-    names: dict[str, Name] = field(default_factory=dict)
-    sign: State = State.GOOD  # what the last look spoke for
-    since: float = float("-inf")  # from when on it has
-
-    def answered(self, name: str, took: float, now: float) -> None:
-        """A call got its answer; a late one counts with the time that it took."""
-        self._name(name, now).failed = 0
-        self.mean += WEIGHT * (min(took, 2 * LIMIT) - self.mean)
-
-    def failed(self, name: str, now: float) -> None:
-        """A call got no answer, or none that tells anything. One turned away is no failure."""
-        self._name(name, now).failed += 1
-
-    def fell(self, name: str, now: float) -> None:
-        """A total was below what the name surely held: emptied, or another counter."""
-        self._name(name, now).fell = now
-
-    def rose(self, name: str, now: float) -> None:
-        """A total was above what this ingress, its only writer, ever put there."""
-        self._name(name, now).rose = now
-
-    def look(self, now: float) -> State | None:
-        """The state that is entered now, or None where it stays as it was."""
-        self.names = {key: name for key, name in self.names.items() if now - name.at < HEARD}
-        sign = self._sign(now)
-        if sign is not self.sign:
-            self.sign, self.since = sign, now
-        if sign is self.state or now - self.since < (LEAVE if sign is State.GOOD else ENTER):
+    """The state of one counter, as seen by one ingress."""
+
+    state: State = State.HEALTHY
+    generation: int = 0  # how often the counter was found emptied, which invalidates earlier totals
+    mean_latency: float = 0.0  # seconds
+    names: dict[str, NameStatus] = field(default_factory=dict)
+    observed: State = State.HEALTHY  # the state that the signs point to
+    observed_since: float = float("-inf")
+
+    def record_answer(self, name: str, latency: float, now: float) -> None:
+        """Records an answered call. A late answer counts with its full latency."""
+        self._status(name, now).consecutive_failures = 0
+        self.mean_latency += EWMA_WEIGHT * (min(latency, 2 * CALL_TIMEOUT_SECONDS) - self.mean_latency)
+
+    def record_failure(self, name: str, now: float) -> None:
+        """Records a call without a usable answer. A call rejected as overloaded is not a failure."""
+        self._status(name, now).consecutive_failures += 1
+
+    def record_shortfall(self, name: str, now: float) -> None:
+        """Records a total below its confirmed value: the counter was emptied, or is another one."""
+        self._status(name, now).shortfall_at = now
+
+    def record_excess(self, name: str, now: float) -> None:
+        """Records a total above everything that this ingress, its only writer, has ever added."""
+        self._status(name, now).excess_at = now
+
+    def update(self, now: float) -> State | None:
+        """Returns the state that is entered now, or None if it does not change."""
+        self.names = {
+            key: name for key, name in self.names.items() if now - name.last_seen < NAME_EXPIRY_SECONDS
+        }
+        observed = self._observe(now)
+        if observed is not self.observed:
+            self.observed, self.observed_since = observed, now
+        if observed is self.state or now - self.observed_since < (
+            RECOVER_SECONDS if observed is State.HEALTHY else ENTER_SECONDS
+        ):
             return None
-        self.state = sign
-        if sign is State.EMPTIED:
+        self.state = observed
+        if observed is State.EMPTIED:
             self.generation += 1
-        return sign
+        return observed
 
-    def failing(self) -> frozenset[str]:
-        """The names that fail now: those on a part that is gone, while others are answered."""
-        return frozenset(key for key, name in self.names.items() if name.failed > 1)
+    def failing_names(self) -> frozenset[str]:
+        """The names that fail now: those on an unreachable partition, while others are answered."""
+        return frozenset(key for key, name in self.names.items() if name.consecutive_failures > 1)
 
-    def _name(self, key: str, now: float) -> Name:
-        name = self.names.pop(key, None) or Name(now)
-        name.at = now
-        self.names[key] = name  # the latest is last
-        if len(self.names) > NAMES:
+    def _status(self, key: str, now: float) -> NameStatus:
+        name = self.names.pop(key, None) or NameStatus(now)
+        name.last_seen = now
+        self.names[key] = name  # keeps the dict ordered by last use
+        if len(self.names) > MAX_NAMES:
             del self.names[next(iter(self.names))]
         return name
 
-    def _sign(self, now: float) -> State:
+    def _observe(self, now: float) -> State:
         known = list(self.names.values())
         if not known:
-            return self.sign  # nothing was asked: nothing is known
-        failing = sum(name.failed > 1 for name in known) / len(known)
-        if failing >= MOST:
-            return State.GONE
-        if failing >= PART:
-            return State.PART_GONE
-        fell = [name for name in known if now - name.fell < HEARD]
-        if any(now - name.rose < HEARD for name in fell):
-            return State.DISAGREEING  # two answer for one name, each with its own total
-        if fell:
+            return self.observed  # without calls there is no evidence
+        failing = sum(name.consecutive_failures > 1 for name in known) / len(known)
+        if failing >= UNREACHABLE_FRACTION:
+            return State.UNREACHABLE
+        if failing >= PARTITION_FRACTION:
+            return State.PARTLY_UNREACHABLE
+        short = [name for name in known if now - name.shortfall_at < NAME_EXPIRY_SECONDS]
+        if any(now - name.excess_at < NAME_EXPIRY_SECONDS for name in short):
+            return State.INCONSISTENT  # two counters answer for one name, each with its own total
+        if short:
             return State.EMPTIED
-        limit = SLOW_UNTIL if self.state is State.SLOW else SLOW_FROM
-        return State.SLOW if self.mean > limit else State.GOOD
+        limit = SLOW_UNTIL_SECONDS if self.state is State.SLOW else SLOW_ABOVE_SECONDS
+        return State.SLOW if self.mean_latency > limit else State.HEALTHY
--- a/tests/test_counter_program.py
+++ b/tests/test_counter_program.py
@@ -13,7 +13,7 @@
 from lab.callers import command, kind_of, read
 from lab.counter import Door, Store, Way
 from lab.processes import LIMIT, Ingress
-from standflow.counter.ledger import PERIOD, decode
+from standflow.counter.ledger import PERIOD_SECONDS, decode_register
 from standflow.counter.rate_limit import DECREASE_FACTOR, DECREASE_INTERVAL_SECONDS, AdaptiveRateLimit
 
 FILE = """
@@ -80,7 +80,7 @@
 def units_in_counter(door: Door, ring_index: int) -> int:
     """The highest running count in the counter for a ring index, in units."""
     found = [
-        decode(b"", ring_index, number.total)
+        decode_register(b"", ring_index, number.total)
         for name, number in list(door.store.numbers.items())
         if name.endswith(f".{ring_index}")
     ]
@@ -120,7 +120,7 @@
 ) -> None:
     with Box() as box, Door(Store()) as door, Door(Store()) as other, pair(tmp_path, box, door) as both:
         first, second = both
-        while time.time() % PERIOD > PERIOD - 6.0:
+        while time.time() % PERIOD_SECONDS > PERIOD_SECONDS - 6.0:
             time.sleep(
                 0.1
             )  # a register is empty at the start of a period, so an emptied one would go unnoticed
