--- a/standflow/config/operators.py
+++ b/standflow/config/operators.py
@@ -1,7 +1,7 @@
-"""The operator's own file, deploy/standflow.conf: checked against directives.py, ending in a Config.
+"""Loads the operator's file (deploy/standflow.conf), validated against directives.py, into a Config.
 
-What it says is laid over the platform's JSON where there is one, and stands for it where there is none; the
-checks of `platform.read` hold for both.
+Its directives are written over the platform's JSON, or over a default one if there is none. Either way
+`platform.read` validates the result.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
     StoreOptions,
     TlsOptions,
 )
-from standflow.config.platform import of_process
+from standflow.config.platform import apply_process_environment
 from standflow.config.platform import parse as parse_platform
 from standflow.config.platform import read as read_platform
 from standflow.config.reload import key_shape
-from standflow.config.schema import Block, Given, Reader, is_host
+from standflow.config.schema import Block, Setting, Validator, is_host
 from standflow.config.text import ConfigFileError, Statement, Word, read_file
 from standflow.net.peers import NOWHERE
 from standflow.net.routes import read_address
 
-FIELDS = ("id", "zone", "kind")
-# Directives of the first level that are keys of the platform's JSON as they stand.
-PLAIN = {
+TEMPLATE_FIELDS = ("id", "zone", "kind")
+# Top-level directives, and the keys of the platform's JSON that take their values unchanged.
+PLATFORM_KEYS = {
     "name": "name",
     "listen": "listen",
     "discovery": "discovery",
@@ -46,64 +46,67 @@
     "peers-all": "peers_all",
     "seed": "seed",
 }
-CAPS: dict[str, tuple[str, Callable[[Any], Any]]] = {
+CAPS_KEYS: dict[str, tuple[str, Callable[[Any], Any]]] = {
     "attempts": ("TryLimit", int),
     "open": ("MaxOpen", int),
-    "dial-timeout": ("DialTimeoutUs", lambda v: _us(v)),
-    "idle": ("IdleCloseUs", lambda v: _us(v)),
-    "retry-after": ("MaxRetryAfterUs", lambda v: _us(v)),
+    "dial-timeout": ("DialTimeoutUs", lambda v: _microseconds(v)),
+    "idle": ("IdleCloseUs", lambda v: _microseconds(v)),
+    "retry-after": ("MaxRetryAfterUs", lambda v: _microseconds(v)),
     "probes": ("Probes", bool),
     "second-copies": ("SecondCopies", bool),
 }
-RULES: dict[str, tuple[str, Callable[[Any], Any]]] = {
+RULES_KEYS: dict[str, tuple[str, Callable[[Any], Any]]] = {
     "from": ("ColdFrom", float),
-    "time": ("ColdUs", lambda v: _us(v)),
+    "time": ("ColdUs", lambda v: _microseconds(v)),
     "multiple": ("FallMultiple", float),
-    "window": ("OverloadForUs", lambda v: _us(v)),
+    "window": ("OverloadForUs", lambda v: _microseconds(v)),
 }
 
 
-def _us(value: float) -> int:
+def _microseconds(value: float) -> int:
     return round(value * 1e6)
 
 
-def read_statements(statements: tuple[Statement, ...], file: str, over: bool = False) -> Block:
-    """The directives in force; FileFaultError holds every fault. `over`: the platform's JSON lies below."""
-    reader = Reader(file)
-    block = reader.block(TOP, statements, "", Word("", 1, 1))
-    _check(reader, statements, block, over or block.has("platform"))
-    if reader.faults:
-        raise ConfigFileError(reader.faults)
+def read_statements(statements: tuple[Statement, ...], file: str, has_platform: bool = False) -> Block:
+    """The settings in force. Raises ConfigFileError with all errors.
+
+    `has_platform`: the platform's JSON provides what the file does not.
+    """
+    validator = Validator(file)
+    block = validator.block(TOP, statements, "", Word("", 1, 1))
+    _check(validator, statements, block, has_platform or block.has("platform"))
+    if validator.errors:
+        raise ConfigFileError(validator.errors)
     return block
 
 
 def read_block(path: str, environment: Mapping[str, str]) -> Block:
-    """The directives in force in a file."""
+    """The settings in force according to a file."""
     return read_statements(read_file(path), path, "EDGE_CONFIG" in environment)
 
 
 def load(path: str, environment: Mapping[str, str], log: Callable[[str], None]) -> Config:
-    """The configuration of a file, over the platform's where the file or EDGE_CONFIG names one."""
+    """Loads a file, over the platform's JSON if the file or EDGE_CONFIG names one."""
     return configure(read_block(path, environment), path, environment, log)
 
 
 def configure(block: Block, path: str, environment: Mapping[str, str], log: Callable[[str], None]) -> Config:
-    """The checked configuration of what is in force; relative paths count from the file's folder."""
+    """Converts settings into a validated configuration. Relative paths are relative to the file's folder."""
     folder = Path(path).resolve().parent
     json_path = block.value("platform") or environment.get("EDGE_CONFIG")
     if json_path is not None:
-        given = str(folder / json_path) if block.value("platform") else json_path
-        raw = parse_platform({**environment, "EDGE_CONFIG": given})
-        over, keys = True, key_shape(raw)
+        full_path = str(folder / json_path) if block.value("platform") else json_path
+        raw = parse_platform({**environment, "EDGE_CONFIG": full_path})
+        has_platform, platform_keys = True, key_shape(raw)
     else:
-        raw, over, keys = _empty(), False, None
-    static = block.value("discovery") == "off" and (block.has("discovery") or not over)
-    _overlay(raw, block, over)
-    of_process(raw, environment)
+        raw, has_platform, platform_keys = _default_platform(), False, None
+    static = block.value("discovery") == "off" and (block.has("discovery") or not has_platform)
+    _overlay(raw, block, has_platform)
+    apply_process_environment(raw, environment)
     raw.setdefault("seed", secrets.token_hex(8))
     fleet = block.block("fleet")
     seeds = () if fleet is None else tuple(read_address(one.values[0]) for one in fleet.all("seed"))
-    if seeds and not raw.get("peers"):  # who is there is told by the view, and where
+    if seeds and not raw.get("peers"):  # membership provides the addresses
         raw["peers"] = [raw.get("peer_listen")] * raw["settings"]["Balancers"]
     try:
         config = read_platform(raw, log, static)
@@ -111,26 +114,26 @@
         raise ConfigError(f"{path}: {error}") from None
     tls = block.block("tls")
     handshakes = block.block("handshakes")
-    witness, limits = block.block("witness"), block.block("limits")
-    if witness is not None and config.counter is None:
-        raise ConfigError(f"{path}: witness: needs a counter; expected 'counter <address and port>'")
+    reconciliation, limits = block.block("witness"), block.block("limits")
+    if reconciliation is not None and config.counter is None:
+        raise ConfigError(f"{path}: witness: requires a counter; expected 'counter <address and port>'")
     if fleet is not None and config.peer_listen is None:
         raise ConfigError(f"{path}: fleet: needs datagrams; expected 'peer-listen <address and port>'")
-    limited = (
+    limit_handshakes = (
         handshakes is not None
         and handshakes.value("limit")
         and (tls is not None or handshakes.value("plain"))
     )
     return replace(
         config,
-        platform_keys=keys,
+        platform_keys=platform_keys,
         tls=None if tls is None else _tls(tls, folder),
-        handshakes=_handshakes(handshakes) if handshakes is not None and limited else None,
-        witness=None if witness is None else _witness(witness),
+        handshakes=_handshakes(handshakes) if handshakes is not None and limit_handshakes else None,
+        witness=None if reconciliation is None else _reconciliation(reconciliation),
         store=_store(block.block("store"), folder),
         fleet=None if fleet is None else FleetOptions(fleet.value("name"), seeds),
         peers=(NOWHERE,) * config.settings.gateways if seeds else config.peers,
-        settings=replace(config.settings, witness=witness is not None, membership=fleet is not None),
+        settings=replace(config.settings, witness=reconciliation is not None, membership=fleet is not None),
         max_unread_bytes=limits.value("unread") if limits is not None else config.max_unread_bytes,
     )
 
@@ -141,7 +144,7 @@
     return StoreOptions(folder / block.value("folder"), block.value("every"), block.value("most"))
 
 
-def _empty() -> dict[str, Any]:
+def _default_platform() -> dict[str, Any]:
     caps = {"Cancel": True}
     family = {"Settles": False}
     prices = {"CrossZone": 0.0072, "Waste": 0.058, "LateFail": 0.1, "Probe": 0.01, "Peer": 0.02}
@@ -160,27 +163,27 @@
     return {"settings": settings}
 
 
-def _overlay(raw: dict[str, Any], block: Block, over: bool) -> None:
-    """Writes into the JSON's form what the file says; its defaults only where nothing else says it."""
+def _overlay(raw: dict[str, Any], block: Block, has_platform: bool) -> None:
+    """Writes the settings into the platform's JSON; defaults only if there is no platform file."""
 
-    def tells(part: Block | None, name: str) -> bool:
-        return part is not None and bool(part.all(name)) and (not over or part.has(name))
+    def applies(part: Block | None, name: str) -> bool:
+        return part is not None and bool(part.all(name)) and (not has_platform or part.has(name))
 
-    for name, key in PLAIN.items():
-        if tells(block, name):
+    for name, key in PLATFORM_KEYS.items():
+        if applies(block, name):
             raw[key] = block.value(name)
     for name, key, unit in (("sockets", "sockets", 1), ("memory", "memory_mb", 1 << 20)):
-        if tells(block, name):
+        if applies(block, name):
             raw["limits"] = {**raw.get("limits", {}), key: block.value(name) / unit}
     if block.all("peer"):
         raw["peers"] = [one.values[0] for one in block.all("peer")]
     settings = raw.get("settings")
     if not isinstance(settings, dict):
-        return  # the platform's check names it
+        return  # reported by platform.read
     for name, key in {"number": "Me", "ingresses": "Balancers", "zone": "Az"}.items():
-        if tells(block, name):
+        if applies(block, name):
             settings[key] = block.value(name)
-    if tells(block, "zones"):
+    if applies(block, "zones"):
         settings["Zones"] = list(block.values("zones"))
     if block.all("class"):
         settings["Classes"] = [_class(one) for one in block.all("class")]
@@ -188,18 +191,18 @@
         settings["Contracts"] = [_plan(one) for one in block.all("plan")]
     limits, cold = block.block("limits"), block.block("cold")
     caps, rules, family = (settings.setdefault(key, {}) for key in ("Caps", "Rules", "FamilyInfo"))
-    for table, part, target in ((CAPS, limits, caps), (RULES, cold, rules)):
+    for table, part, target in ((CAPS_KEYS, limits, caps), (RULES_KEYS, cold, rules)):
         for name, (key, write) in table.items():
-            if part is not None and tells(part, name):
+            if part is not None and applies(part, name):
                 target[key] = write(part.value(name))
     if limits is not None:
-        if tells(limits, "retry-after"):
+        if applies(limits, "retry-after"):
             caps["RetryAfter"] = limits.value("retry-after") > 0
-        if tells(limits, "drain-grace"):
-            rules["DrainGraceUs"] = _us(limits.value("drain-grace"))
-        if tells(limits, "units"):
+        if applies(limits, "drain-grace"):
+            rules["DrainGraceUs"] = _microseconds(limits.value("drain-grace"))
+        if applies(limits, "units"):
             family["MostUnits"] = limits.value("units")
-        if tells(limits, "peer-messages"):
+        if applies(limits, "peer-messages"):
             family["PeerIntake"] = limits.value("peer-messages")
             caps["PeerMessages"] = limits.value("peer-messages") > 0
     if block.all("next-hop"):
@@ -207,13 +210,13 @@
         raw["known"] = {"revision": 0, "complete": True, "members": members}
 
 
-def _class(given: Given) -> dict[str, Any]:
-    block = given.block
+def _class(setting: Setting) -> dict[str, Any]:
+    block = setting.block
     assert block is not None
     return {
-        "Name": given.values[0],
-        "AimUs": _us(block.value("aim")),
-        "DeadlineUs": _us(block.value("deadline")),
+        "Name": setting.values[0],
+        "AimUs": _microseconds(block.value("aim")),
+        "DeadlineUs": _microseconds(block.value("deadline")),
         "Effect": "read_like" if block.value("effect") == "safe" else "non_idempotent",
         "DedupScope": "all",
         "WindowUs": 5_000_000,
@@ -223,11 +226,11 @@
     }
 
 
-def _plan(given: Given) -> dict[str, Any]:
-    block = given.block
+def _plan(setting: Setting) -> dict[str, Any]:
+    block = setting.block
     assert block is not None
     return {
-        "Name": given.values[0],
+        "Name": setting.values[0],
         "Rate": block.value("rate"),
         "PeakUnits": block.value("burst"),
         "Parallel": block.value("open"),
@@ -240,11 +243,11 @@
     }
 
 
-def _member(given: Given) -> dict[str, Any]:
-    block = given.block
+def _member(setting: Setting) -> dict[str, Any]:
+    block = setting.block
     assert block is not None
     return {
-        "id": given.values[0],
+        "id": setting.values[0],
         "host_port": block.value("address"),
         "locality": block.value("zone"),
         "flavor": block.value("kind"),
@@ -277,8 +280,8 @@
     )
 
 
-def _rule(given: Given) -> NameRule:
-    template, *pairs = given.values
+def _rule(setting: Setting) -> NameRule:
+    template, *pairs = setting.values
     globs = dict(zip(pairs[::2], pairs[1::2], strict=True))
     return NameRule(template, globs.get("id", "*"), globs.get("zone", "*"), globs.get("kind", "*"))
 
@@ -296,68 +299,73 @@
     )
 
 
-def _witness(block: Block) -> ReconciliationOptions:
+def _reconciliation(block: Block) -> ReconciliationOptions:
     return ReconciliationOptions(block.value("calls"), block.value("every"), block.value("near"))
 
 
-# What no single directive can tell.
+# Checks that involve more than one directive.
 
 
-def _check(reader: Reader, statements: tuple[Statement, ...], block: Block, over: bool) -> None:
+def _check(validator: Validator, statements: tuple[Statement, ...], block: Block, has_platform: bool) -> None:
     for name in ("class", "plan"):
-        if not over and not any(statement.name.text == name for statement in statements):
-            reader.fault(Word("", 1, 1), name, f"is needed; expected '{name} <text>' and a block")
+        if not has_platform and not any(statement.name.text == name for statement in statements):
+            validator.add_error(Word("", 1, 1), name, f"is required; expected '{name} <text>' and a block")
     for statement in statements:
         if statement.name.text == "tls" and statement.block is not None:
-            _check_tls(reader, statement, block.block("tls"))
+            _check_tls(validator, statement, block.block("tls"))
     for name in ("class", "plan", "next-hop"):
         seen: set[str] = set()
         for statement in statements:
             if statement.name.text == name and statement.values:
                 word = statement.values[0]
                 if word.text in seen:
-                    reader.fault(word, name, f"'{word.text}' stands twice")
+                    validator.add_error(word, name, f"'{word.text}' is defined twice")
                 seen.add(word.text)
-    number, among = block.value("number"), block.value("ingresses")
-    if number is not None and among is not None and number >= among:
+    number, ingresses = block.value("number"), block.value("ingresses")
+    if number is not None and ingresses is not None and number >= ingresses:
         at = next((s.name for s in statements if s.name.text in ("number", "ingresses")), Word("", 1, 1))
-        reader.fault(at, "number", f"{number} of {among} ingresses; they count from 0")
+        validator.add_error(
+            at, "number", f"{number} is too high for {ingresses} ingresses; numbers start at 0"
+        )
 
 
-def _check_tls(reader: Reader, statement: Statement, block: Block | None) -> None:
+def _check_tls(validator: Validator, statement: Statement, block: Block | None) -> None:
     inner = statement.block or ()
     present = {one.name.text: one.name for one in inner}
     for name, other in (("certificate", "key"), ("key", "certificate")):
         if name in present and other not in present:
-            reader.fault(present[name], f"tls.{name}", f"needs tls.{other} beside it")
+            validator.add_error(present[name], f"tls.{name}", f"requires tls.{other} as well")
     if "name" not in present and "names" not in present:
-        fault = "is needed; expected which names next hops must prove, such as 'names {id}.example.org'"
-        reader.fault(statement.name, "tls.names", fault)
+        message = "is required; expected the certificate names of next hops, such as 'names {id}.example.org'"
+        validator.add_error(statement.name, "tls.names", message)
     for one in inner:
         if one.name.text == "names" and one.values:
-            _check_rule(reader, one)
+            _check_name_rule(validator, one)
     ids = [one.values[0] for one in inner if one.name.text == "name" and one.values]
-    for place, word in enumerate(ids):
-        if word.text in [other.text for other in ids[:place]]:
-            reader.fault(word, "tls.name", f"'{word.text}' stands twice")
+    for index, word in enumerate(ids):
+        if word.text in [other.text for other in ids[:index]]:
+            validator.add_error(word, "tls.name", f"'{word.text}' is defined twice")
 
 
-def _check_rule(reader: Reader, statement: Statement) -> None:
+def _check_name_rule(validator: Validator, statement: Statement) -> None:
     template, pairs = statement.values[0], statement.values[1:]
     try:
-        parts = [(field, spec or turn) for _, field, spec, turn in string.Formatter().parse(template.text)]
-        fitting = all(field is None or (field in FIELDS and not odd) for field, odd in parts)
+        parts = [
+            (field, spec or conversion)
+            for _, field, spec, conversion in string.Formatter().parse(template.text)
+        ]
+        valid = all(field is None or (field in TEMPLATE_FIELDS and not extra) for field, extra in parts)
     except ValueError:
-        fitting = False
-    sample = template.text.format(**dict.fromkeys(FIELDS, "a")) if fitting else ""
-    if not fitting or not is_host(sample):
-        reader.fault(
+        valid = False
+    sample = template.text.format(**dict.fromkeys(TEMPLATE_FIELDS, "a")) if valid else ""
+    if not valid or not is_host(sample):
+        validator.add_error(
             template, "tls.names", f"'{template.text}': expected a DNS name with {{id}}, {{zone}}, {{kind}}"
         )
     if len(pairs) % 2:
-        reader.fault(
+        validator.add_error(
             pairs[-1], "tls.names", f"'{pairs[-1].text}': expected pairs of id, zone or kind and a pattern"
         )
     for word in pairs[: len(pairs) // 2 * 2 : 2]:
-        if word.text not in FIELDS:
-            reader.fault(word, "tls.names", f"'{word.text}': expected id, zone or kind")
+        if word.text not in TEMPLATE_FIELDS:
+            validator.add_error(word, "tls.names", f"'{word.text}': expected id, zone or kind")
--- a/standflow/config/text.py
+++ b/standflow/config/text.py
@@ -1,4 +1,4 @@
-"""The operator's file as text: what stands where, with no meaning yet. The grammar is in conf.lark."""
+"""Parses the operator's file into statements, without interpreting them. The grammar is in conf.lark."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 from standflow.config.model import ConfigError
 
-MAX_FILE = 4 * 1024 * 1024  # bytes; no operator writes more
-EXPECTED = {
+MAX_FILE_BYTES = 4 * 1024 * 1024
+TERMINAL_NAMES = {
     "WORD": "a value",
     "STRING": "a quoted value",
     "_NL": "the end of the line",
@@ -24,9 +24,9 @@
 
 
 class ConfigFileError(ConfigError):
-    """A fault of the file: its text is FILE:LINE:COLUMN: DIRECTIVE: what is wrong and what was expected.
+    """Errors in the file, each as FILE:LINE:COLUMN: DIRECTIVE: what is wrong and what was expected.
 
-    `errors` holds all that were found, the first of them being the exception's own text.
+    `errors` holds all of them; the exception's own message is the first one.
     """
 
     def __init__(self, errors: list[str]) -> None:
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Word:
-    """A value as it was written, without its quotes; line and column count from 1."""
+    """A value as written in the file, without its quotes. Lines and columns start at 1."""
 
     text: str
     line: int
@@ -46,14 +46,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Statement:
-    """A directive: its name, the values behind it, and its block where it opens one."""
+    """A directive: its name, its values, and the block that it opens, if any."""
 
     name: Word
     values: tuple[Word, ...]
     block: tuple[Statement, ...] | None
 
 
-class _Build(Transformer[Token, tuple[Statement, ...]]):
+class _StatementBuilder(Transformer[Token, tuple[Statement, ...]]):
     def start(self, children: list[Statement]) -> tuple[Statement, ...]:
         return tuple(children)
 
@@ -76,43 +76,45 @@
 @cache
 def _parser() -> Lark:
     grammar = (Path(__file__).parent / "conf.lark").read_text()
-    return Lark(grammar, parser="lalr", transformer=_Build())
+    return Lark(grammar, parser="lalr", transformer=_StatementBuilder())
 
 
 def parse(text: str, name: str) -> tuple[Statement, ...]:
-    """The statements of a file's text; FileFaultError says where it can't be read and what was expected."""
-    if len(text) > MAX_FILE:
-        raise ConfigFileError([f"{name}:1:1: the file is over {MAX_FILE} bytes"])
+    """Parses the text of a file. Raises ConfigFileError with the position and what was expected there."""
+    if len(text) > MAX_FILE_BYTES:
+        raise ConfigFileError([f"{name}:1:1: the file is larger than {MAX_FILE_BYTES} bytes"])
     text = text.replace("\r\n", "\n") + "\n"
     try:
         parsed = _parser().parse(text)
     except UnexpectedInput as error:
-        raise ConfigFileError([_fault(error, text, name)]) from None
+        raise ConfigFileError([_describe(error, text, name)]) from None
     assert isinstance(parsed, tuple)
     return parsed
 
 
-def _fault(error: UnexpectedInput, text: str, name: str) -> str:
+def _describe(error: UnexpectedInput, text: str, name: str) -> str:
     line, column = error.line, error.column
     allowed: set[str] = set(getattr(error, "accepts", None) or getattr(error, "expected", None) or ())
-    ended = isinstance(error, UnexpectedEOF) or getattr(getattr(error, "token", None), "type", "") == "$END"
+    at_end = isinstance(error, UnexpectedEOF) or getattr(getattr(error, "token", None), "type", "") == "$END"
     if isinstance(error, UnexpectedCharacters):
         allowed = set(error.allowed or ())
-    if ended:
+    if at_end:
         line, column = text.count("\n"), 1
         return f"{name}:{line}:{column}: the file ends within a block; expected '}}' on a line of its own"
     lines = text.split("\n")
-    shown = lines[line - 1] if 0 < line <= len(lines) else ""
-    directive = shown.split()[0] if shown.split() else "?"
-    rest = shown[column - 1 : column + 11].strip()
+    source = lines[line - 1] if 0 < line <= len(lines) else ""
+    directive = source.split()[0] if source.split() else "?"
+    rest = source[column - 1 : column + 11].strip()
     if rest[:1] in ("'", '"'):
-        return f"{name}:{line}:{column}: {directive}: a quoted value has no end; expected {rest[0]}"
-    wanted = ", ".join(sorted(EXPECTED[kind] for kind in allowed if kind in EXPECTED)) or "a directive"
-    return f"{name}:{line}:{column}: {directive}: '{rest}' can't stand here; expected {wanted}"
+        return f"{name}:{line}:{column}: {directive}: unterminated quoted value; expected {rest[0]}"
+    expected = (
+        ", ".join(sorted(TERMINAL_NAMES[kind] for kind in allowed if kind in TERMINAL_NAMES)) or "a directive"
+    )
+    return f"{name}:{line}:{column}: {directive}: unexpected '{rest}'; expected {expected}"
 
 
 def read_file(path: str) -> tuple[Statement, ...]:
-    """The statements of a file."""
+    """Reads and parses a file."""
     try:
         return parse(Path(path).read_text("utf-8"), path)
     except OSError as error:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -15,7 +15,7 @@
 
 from standflow import cli
 from standflow.config import Config, ConfigError, load
-from standflow.config.schema import ValueFaultError, share, show_time, size, time
+from standflow.config.schema import InvalidValueError, format_time, fraction, size, time
 from standflow.config.text import ConfigFileError, Statement, parse
 from tests.test_adapter import ROOT
 from tests.wire import Program, command, config, read_until
@@ -40,13 +40,13 @@
     return load({"STANDFLOW_CONF": str(path), **environment}, print)
 
 
-def fault(folder: Path, text: str) -> str:
+def error_message(folder: Path, text: str) -> str:
     with pytest.raises(ConfigError) as caught:
         read(folder, text)
     return str(caught.value).removeprefix(str(folder) + "/")
 
 
-def test_the_file_that_is_shipped_can_be_used_and_says_what_its_defaults_are() -> None:
+def test_the_shipped_file_is_valid_and_gets_the_documented_defaults() -> None:
     configured = load({"STANDFLOW_CONF": str(ROOT / "deploy" / "standflow.conf")}, print)
     assert configured.discovery is None
     assert configured.classes == {"view": True, "change": False}
@@ -56,7 +56,7 @@
     assert (configured.tls, configured.handshakes) == (None, None)
 
 
-def test_words_quotes_comments_and_lines_that_go_on() -> None:
+def test_words_quotes_comments_and_continuation_lines() -> None:
     text = 'a \'b # c\' "d \\" e" # f\n\n# g\nh {  # i\n  j k \\\n    {l}.m\n}\n'
     first, second = parse(text, "f")
     assert [word.text for word in first.values] == ["b # c", 'd " e']
@@ -76,38 +76,38 @@
 )
 
 
-def written(tree: Any, indent: str = "") -> str:
+def format_tree(tree: Any, indent: str = "") -> str:
     name, values, inner = tree
     head = indent + " ".join([name, *(f'"{value}"' for value in values)])
     if inner is None:
         return head + "\n"
-    return head + " {\n" + "".join(written(one, indent + "  ") for one in inner) + indent + "}\n"
+    return head + " {\n" + "".join(format_tree(one, indent + "  ") for one in inner) + indent + "}\n"
 
 
-def plain(statement: Statement) -> Any:
-    inner = None if statement.block is None else [plain(one) for one in statement.block]
+def to_tree(statement: Statement) -> Any:
+    inner = None if statement.block is None else [to_tree(one) for one in statement.block]
     return (statement.name.text, [word.text for word in statement.values], inner)
 
 
 @given(st.lists(TREES, max_size=4))
-def test_whatever_tree_is_written_is_read_again(trees: list[Any]) -> None:
-    text = "".join(written(tree) for tree in trees)
-    assert [plain(one) for one in parse(text, "f")] == trees
+def test_a_formatted_tree_is_parsed_to_the_same_tree(trees: list[Any]) -> None:
+    text = "".join(format_tree(tree) for tree in trees)
+    assert [to_tree(one) for one in parse(text, "f")] == trees
 
 
 @given(st.text(max_size=60))
-def test_any_text_is_read_or_named_with_its_place(text: str) -> None:
+def test_any_text_is_parsed_or_rejected_with_a_position(text: str) -> None:
     try:
         parse(text, "f")
     except ConfigFileError as error:
-        place = str(error).split(":")
-        assert place[0] == "f"
-        assert int(place[1]) >= 1
-        assert int(place[2]) >= 1
+        position = str(error).split(":")
+        assert position[0] == "f"
+        assert int(position[1]) >= 1
+        assert int(position[2]) >= 1
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         (
             "listn 127.0.0.1:1\n" + BASE[20:],
@@ -115,26 +115,26 @@
         ),
         (BASE.replace("aim 400ms", "aim 400"), "4:9: class look.aim: '400': expected a time with its unit"),
         (BASE.replace("rate 2", "rate two"), "8:10: plan plain.rate: 'two': expected a number"),
-        (BASE.replace("    burst 9\n", ""), "7:1: plan plain.burst: is needed; expected 'burst <number"),
+        (BASE.replace("    burst 9\n", ""), "7:1: plan plain.burst: is required; expected 'burst <number"),
         (BASE + "sockets 5\n", "11:9: sockets: '5': expected 64 to 1e+07"),
         (BASE + "name a b\n", "11:1: name: has 2 values; expected text"),
-        (BASE + "name a\nname b\n", "12:1: name: stands twice, first in "),
+        (BASE + "name a\nname b\n", "12:1: name: is given twice, first in "),
         (BASE + "zone {\n}\n", "11:1: zone: has 0 values; expected text"),
         (BASE + "limits 5\n", "11:1: limits: has 1 values; expected no value"),
         (BASE + "limits\n", "11:1: limits: expected a block in braces"),
         (BASE + "limits {\n  probes yes\n}\n", "12:10: limits.probes: 'yes': expected on or off"),
         (BASE + "limits {\n  probes on\n", "13:1: the file ends within a block; expected '}'"),
-        (BASE + "name 'a\n", "11:6: name: a quoted value has no end; expected '"),
-        (BASE + "}\n", "11:1: }: '}' can't stand here; expected "),
-        (BASE + "number 4\n", "11:1: number: 4 of 1 ingresses; they count from 0"),
-        (BASE + BASE[20:], "'look' stands twice"),
-        (TLS.replace("    roots r.pem\n", ""), "11:1: tls.roots: is needed; expected 'roots <file>'"),
-        (TLS.replace("    names {id}.{zone}.example.org\n", ""), "11:1: tls.names: is needed"),
+        (BASE + "name 'a\n", "11:6: name: unterminated quoted value; expected '"),
+        (BASE + "}\n", "11:1: }: unexpected '}'; expected "),
+        (BASE + "number 4\n", "11:1: number: 4 is too high for 1 ingresses; numbers start at 0"),
+        (BASE + BASE[20:], "'look' is defined twice"),
+        (TLS.replace("    roots r.pem\n", ""), "11:1: tls.roots: is required; expected 'roots <file>'"),
+        (TLS.replace("    names {id}.{zone}.example.org\n", ""), "11:1: tls.names: is required"),
         (TLS.replace("{zone}", "{room}"), "13:11: tls.names: '{id}.{room}.example.org': expected a DNS name"),
         (TLS.replace("{zone}", "*"), "expected a DNS name"),
         (TLS.replace(".org", ".org rom x"), "13:35: tls.names: 'rom': expected id, zone or kind"),
         (TLS.replace(".org", ".org id"), "'id': expected pairs of id, zone or kind and a pattern"),
-        (TLS.replace("roots r.pem", "roots r.pem\n  key k.pem"), "tls.key: needs tls.certificate beside it"),
+        (TLS.replace("roots r.pem", "roots r.pem\n  key k.pem"), "tls.key: requires tls.certificate as well"),
         (
             TLS.replace("roots r.pem", "roots r.pem\n  minimum 1.1"),
             "'1.1': expected 1.2 or 1.3; did you mean",
@@ -143,11 +143,11 @@
         (TLS.replace("roots r.pem", "roots r.pem\n  key-mode rw"), "'rw': expected permission bits"),
     ],
 )
-def test_a_fault_names_file_line_column_and_directive(tmp_path: Path, text: str, said: str) -> None:
-    assert said in fault(tmp_path, text)
+def test_an_error_names_file_line_column_and_directive(tmp_path: Path, text: str, message: str) -> None:
+    assert message in error_message(tmp_path, text)
 
 
-def test_a_file_that_is_not_there_or_not_text_is_named(tmp_path: Path) -> None:
+def test_a_missing_file_and_one_that_is_not_text_are_named(tmp_path: Path) -> None:
     path = tmp_path / "a.conf"
     with pytest.raises(ConfigError, match="No such file"):
         load({"STANDFLOW_CONF": str(path)}, print)
@@ -156,7 +156,7 @@
         load({"STANDFLOW_CONF": str(path)}, print)
 
 
-def test_tls_and_handshakes_are_read_with_their_units(tmp_path: Path) -> None:
+def test_the_blocks_tls_and_handshakes_are_read_with_their_units(tmp_path: Path) -> None:
     more = (
         "    name s-1 tt-01.example.org\n    names box.example.org zone room-* kind big\n    alpn resp2 x\n"
     )
@@ -187,10 +187,13 @@
     )
 
 
-def test_the_file_stands_over_the_platforms_where_it_says_something(tmp_path: Path) -> None:
+def test_directives_in_the_file_override_the_platforms_json_and_defaults_do_not(tmp_path: Path) -> None:
     (tmp_path / "platform.json").write_text(json.dumps(config()))
     configured = read(tmp_path, "platform platform.json\nlimits {\n  drain-grace 250ms\n}\n")
-    assert (configured.drain_grace, configured.max_open) == (0.25, 100)  # 20000 is only the file's default
+    assert (configured.drain_grace, configured.max_open) == (
+        0.25,
+        100,
+    )  # 20000, the directive's default, does not apply
     assert (
         read(tmp_path, "platform platform.json\nlimits {\n  unread 4m\n}\n").max_unread_bytes
         == 4 * 1024 * 1024
@@ -200,27 +203,38 @@
     assert configured.discovery == ("127.0.0.1", 1)
     assert read(tmp_path, "platform platform.json\ndiscovery off\n").discovery is None
     (tmp_path / "platform.json").write_text(json.dumps(config(settings=[])))
-    assert "standflow.conf: settings: is missing" in fault(tmp_path, "platform platform.json\n")
+    assert "standflow.conf: settings: is missing" in error_message(tmp_path, "platform platform.json\n")
 
 
-def test_what_belongs_to_a_process_is_the_environments_and_memory_is_heeded(tmp_path: Path) -> None:
+def test_settings_of_one_process_come_from_the_environment_and_limits_follow_the_memory(
+    tmp_path: Path,
+) -> None:
     path = tmp_path / "f.conf"
     path.write_text(BASE + "ops 127.0.0.1:1\nmemory 64m\n")
-    given = load({"STANDFLOW_CONF": f"{path}"}, print)
-    assert (given.ops, given.memory, given.max_body_bytes) == (("127.0.0.1", 1), 64 << 20, 8 << 20)
-    assert (given.passed_fd, given.handover_folder) == (None, None)
-    ours = {"STANDFLOW_CONF": f"{path}", "EDGE_OPS": "127.0.0.1:2", "EDGE_PASSED_SOCKET": "3", "TMPDIR": "/t"}
-    given = load(ours, print)
-    assert (given.ops, given.passed_fd, given.handover_folder) == (("127.0.0.1", 2), 3, "/t")
+    configured = load({"STANDFLOW_CONF": f"{path}"}, print)
+    assert (configured.ops, configured.memory, configured.max_body_bytes) == (
+        ("127.0.0.1", 1),
+        64 << 20,
+        8 << 20,
+    )
+    assert (configured.passed_fd, configured.handover_folder) == (None, None)
+    environment = {
+        "STANDFLOW_CONF": f"{path}",
+        "EDGE_OPS": "127.0.0.1:2",
+        "EDGE_PASSED_SOCKET": "3",
+        "TMPDIR": "/t",
+    }
+    configured = load(environment, print)
+    assert (configured.ops, configured.passed_fd, configured.handover_folder) == (("127.0.0.1", 2), 3, "/t")
 
 
 @given(st.floats(1e-6, 86400))
-def test_times_shares_and_sizes_carry_units(value: float) -> None:
-    assert abs(time().read(show_time(float(f"{value:.3g}"))) - value) < value / 100
-    assert (share(0, 1).read("20%"), share(0, 1).read("0.2")) == (0.2, 0.2)
+def test_times_fractions_and_sizes_have_units(value: float) -> None:
+    assert abs(time().read(format_time(float(f"{value:.3g}"))) - value) < value / 100
+    assert (fraction(0, 1).read("20%"), fraction(0, 1).read("0.2")) == (0.2, 0.2)
     assert (size().read("64k"), size().read("512")) == (65536, 512)
-    for kind, text in ((time(), "-1s"), (time(), "1y"), (share(0, 1), "120%"), (size(), "1x")):
-        with pytest.raises(ValueFaultError):
+    for kind, text in ((time(), "-1s"), (time(), "1y"), (fraction(0, 1), "120%"), (size(), "1x")):
+        with pytest.raises(InvalidValueError):
             kind.read(text)
 
 
@@ -229,13 +243,13 @@
     return result.exit_code, result.output
 
 
-def test_check_tells_all_faults_and_show_where_each_value_comes_from(tmp_path: Path) -> None:
+def test_check_prints_all_errors_and_show_the_origin_of_each_value(tmp_path: Path) -> None:
     path = tmp_path / "a.conf"
     path.write_text(BASE + "sockets 5\nnumbr 4\n")
-    status, said = invoke("check", str(path))
+    status, output = invoke("check", str(path))
     assert status == 2
-    assert said.count("standflow: ") == 2
-    assert "did you mean 'number'?" in said
+    assert output.count("standflow: ") == 2
+    assert "did you mean 'number'?" in output
     path.write_text(BASE)
     assert invoke("check", str(path)) == (0, f"{path}: can be used\n")
     shown = [line.split() for line in invoke("show", str(path))[1].splitlines()]
@@ -248,14 +262,14 @@
 
 
 def test_help_and_version() -> None:
-    status, said = invoke("--help")
+    status, output = invoke("--help")
     assert status == 0
     for word in ("run", "check", "show", "docs/operators/configuration.md"):
-        assert word in said
+        assert word in output
     assert invoke("--version")[1].startswith("standflow, version ")
 
 
-def test_run_serves_by_the_file_alone_and_reads_it_anew_on_sighup(tmp_path: Path) -> None:
+def test_run_serves_with_the_file_alone_and_reloads_it_on_sighup(tmp_path: Path) -> None:
     path = tmp_path / "a.conf"
     path.write_text(BASE)
     process = subprocess.Popen(
@@ -266,9 +280,9 @@
     )
     try:
         running = Program(process)
-        caller = running.call()
-        caller.sendall(command("aa01"))
-        assert read_until(caller, b"\r\n").startswith(b"-BUSY ")  # no next hop
+        client = running.call()
+        client.sendall(command("aa01"))
+        assert read_until(client, b"\r\n").startswith(b"-BUSY ")  # there is no next hop
         path.write_text(BASE + "limits {\n  atempts 3\n}\n")
         process.send_signal(signal.SIGHUP)
         assert running.logged(
@@ -284,7 +298,7 @@
         process.communicate()
 
 
-def test_a_bad_file_ends_the_start_with_one_line_and_status_2(tmp_path: Path) -> None:
+def test_an_invalid_file_ends_the_start_with_one_line_and_status_2(tmp_path: Path) -> None:
     (tmp_path / "a.conf").write_text(BASE + "sockets 5\nnumbr 4\n")
     ended = subprocess.run(
         [sys.executable, "-m", "standflow"],
@@ -298,15 +312,15 @@
     assert "11:9: sockets" in ended.stderr.decode()
 
 
-def test_the_platforms_start_imports_neither_parser_nor_command_line_nor_tls() -> None:
-    said = subprocess.run(
+def test_a_start_by_the_platform_imports_neither_parser_nor_command_line_nor_tls() -> None:
+    ended = subprocess.run(
         [sys.executable, "-c", "import sys, standflow.__main__, standflow.program; print(*sys.modules)"],
         cwd=ROOT,
         capture_output=True,
         check=True,
         timeout=20,
     )
-    loaded = set(said.stdout.decode().split())
+    loaded = set(ended.stdout.decode().split())
     assert "standflow.net.nexthop" in loaded
     heavy = (
         "lark",
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""What the pages say can be done and is in force, is."""
+"""The operators' pages agree with the code: directives, defaults, commands and reason codes."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 from tests.test_adapter import ROOT
 
 
-def test_the_page_of_directives_is_the_one_that_the_tables_make() -> None:
+def test_the_page_of_directives_is_up_to_date() -> None:
     assert (ROOT / "docs" / "operators" / "configuration.md").read_text() == page()
 
 
-def test_every_default_can_be_read_by_its_own_kind() -> None:
+def test_every_default_is_valid_for_its_value_type() -> None:
     def walk(table: tuple[Directive, ...]) -> None:
         for directive in table:
-            for place, word in enumerate((directive.default or "").split()):
-                directive.takes[min(place, len(directive.takes) - 1)].read(word)
+            for index, word in enumerate((directive.default or "").split()):
+                directive.value_types[min(index, len(directive.value_types) - 1)].read(word)
             walk(directive.block or ())
 
     walk(TOP)
 
 
-def test_the_walk_through_from_an_empty_folder_serves_a_request_over_verified_tls(tmp_path: Path) -> None:
-    """The commands are the page's own; only places and ports are others, since several may run at once."""
+def test_the_tutorial_for_tls_serves_a_request_over_a_verified_connection(tmp_path: Path) -> None:
+    """Runs the page's own commands, with other folders and ports, as several runs may be in progress."""
     text = (ROOT / "docs" / "operators" / "tls.md").read_text()
     commands = re.findall(r"```sh\n(.*?)```", text, re.DOTALL)
     assert len(commands) == 1
@@ -51,10 +51,10 @@
     assert re.search(r"^served: '\$20\\r\\nran [0-9a-f]{16}'$", ended.stdout.decode(), re.MULTILINE)
 
 
-def test_every_reason_code_of_tls_is_on_the_operators_page() -> None:
+def test_every_tls_reason_code_is_on_the_operators_page() -> None:
     text = (ROOT / "docs" / "operators" / "tls.md").read_text()
     sources = "".join(path.read_text() for path in (ROOT / "standflow" / "tls").glob("*.py"))
-    said = set(re.findall(r'return "([a-z_]+)"', sources)) | set(VERIFY.values()) | {"truncated", "rotated"}
-    assert {"cut_off", "not_tls", "handshake_timeout", "no_name"} <= said
-    for reason in said - {"unasked_bytes", "given_up"}:
+    codes = set(re.findall(r'return "([a-z_]+)"', sources)) | set(VERIFY.values()) | {"truncated", "rotated"}
+    assert {"cut_off", "not_tls", "handshake_timeout", "no_name"} <= codes
+    for reason in codes - {"unasked_bytes", "given_up"}:
         assert f"`{reason}`" in text, reason
