--- a/standflow/config/__init__.py
+++ b/standflow/config/__init__.py
@@ -1,7 +1,7 @@
-"""The one place where configuration is read, checked and given defaults.
+"""Reads and validates the configuration, and fills in defaults. No other package reads it.
 
-`platform.py` reads the JSON that EDGE_CONFIG names. `operators.py` reads the operator's own file, which
-STANDFLOW_CONF names; without one, neither it nor the parser that it needs is imported.
+`platform.py` reads the JSON file named by EDGE_CONFIG. `operators.py` reads the operator's file named by
+STANDFLOW_CONF; it and the parser that it needs are imported only if that is set.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def load(environment: Mapping[str, str], log: Callable[[str], None]) -> Config:
-    """Reads what the environment points to; ConfigError names the key or the directive at fault."""
+    """Loads the configuration named by the environment. ConfigError names the key or directive in error."""
     if path := environment.get("STANDFLOW_CONF"):
         from standflow.config.operators import load as load_operators
 
--- a/standflow/config/model.py
+++ b/standflow/config/model.py
@@ -1,4 +1,4 @@
-"""What the ingress is told at its start, checked and typed. Times are seconds, sizes bytes."""
+"""The validated configuration of an ingress. Times are in seconds, sizes in bytes."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class ConfigError(ValueError):
-    """A configuration that can't be used; its text names the key."""
+    """An invalid configuration; the message names the key."""
 
 
 @dataclass(slots=True, frozen=True)
 class NameRule:
-    """Which name the next hops that fit must prove: `template` with {id}, {zone} and {kind} filled in.
+    """The certificate name required of matching next hops: `template` with {id}, {zone} and {kind} filled in.
 
-    The globs are of fnmatch; the first rule that fits holds.
+    The patterns use fnmatch syntax; the first rule that matches applies.
     """
 
     template: str
@@ -36,47 +36,47 @@
     roots: str
     certificate: str | None
     key: str | None
-    key_mode: int  # permission bits that the key's file may have at most
+    key_mode: int  # permission bits that the key file may have at most
     min_version: str  # "1.2" or "1.3"
     alpn: tuple[str, ...]
-    names: dict[str, str]  # the exact table: next hop to name
+    names: dict[str, str]  # by next hop id; takes precedence over the rules
     name_rules: tuple[NameRule, ...]
     handshake_timeout: float
-    sessions: int  # kept per next hop
+    sessions: int  # cached per next hop
     session_lifetime: float
-    watch_interval: float  # seconds between looks at the files; 0: only on SIGHUP
-    warn_before: float  # seconds before a certificate's end from which on it is warned of
+    watch_interval: float  # seconds between checks of the files; 0: reload on SIGHUP only
+    warn_before: float  # seconds before a certificate expires
 
 
 @dataclass(slots=True, frozen=True)
 class HandshakeOptions:
     """The block `handshakes` of the operator's file."""
 
-    cold_share: float  # of what a next hop can do at the moment, from all ingresses together
-    warm_share: float  # the same for one that is warm
-    cores: dict[str, float]  # of a next hop by kind; "*" for the others
-    cost: float  # processor seconds of a full handshake at a next hop of one core, at least
+    cold_share: float  # of a cold next hop's current capacity, for the handshakes of all ingresses
+    warm_share: float  # the same for a warm next hop
+    cores: dict[str, float]  # of a next hop, by kind; "*" for all others
+    cost: float  # minimum CPU seconds of a full handshake on one core of a next hop
     resumed_cost: float
-    back_off: tuple[float, float]  # the first pause after a failure and the longest
-    ready_connections: int  # connections made ready ahead of the first request
-    limit_plain: bool  # the same limits for connections without TLS
+    back_off: tuple[float, float]  # the first pause after a failure and the longest one
+    ready_connections: int  # established before a next hop gets its first request
+    limit_plain: bool  # apply the same limits to connections without TLS
 
 
 @dataclass(slots=True, frozen=True)
 class ReconciliationOptions:
-    """The block `witness` of the operator's file."""
+    """The block `witness` of the operator's file: counter reconciliation."""
 
-    calls_per_second: float  # a second, from this ingress at most
+    calls_per_second: float  # maximum, from this ingress
     interval: float  # seconds between rounds of calls
-    min_utilization: float  # of its burst, what a customer must use to be asked for
+    min_utilization: float  # fraction of its burst that a tenant must use to be reconciled
 
 
 @dataclass(slots=True, frozen=True)
 class FleetOptions:
     """The block `fleet` of the operator's file."""
 
-    name: str  # datagrams of another fleet are dropped
-    seeds: tuple[Address, ...]  # to join by; none where every place's address is listed
+    name: str  # datagrams of other fleets are dropped
+    seeds: tuple[Address, ...]  # to join through; empty if the addresses of all members are configured
 
 
 @dataclass(slots=True, frozen=True)
@@ -84,20 +84,20 @@
     """The block `store` of the operator's file."""
 
     folder: Path
-    write_interval: float  # seconds between writes
-    max_bytes: int  # bytes of what holds
+    write_interval: float  # seconds
+    max_bytes: int  # of the records that are kept
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """Everything the ingress is told at its start."""
+    """The configuration that an ingress starts with."""
 
     name: str
     listen: Address
-    ops: Address | None  # where operators call; None: nowhere
+    ops: Address | None  # of the operators' API; None: disabled
     passed_fd: int | None  # the descriptor of a listening socket that the platform holds
-    handover_folder: str | None  # where the processes of this ingress meet, with such a socket
-    discovery: Address | None  # None: `initial_routes` hold for good
+    handover_folder: str | None  # where processes of this ingress exchange state, with such a socket
+    discovery: Address | None  # None: `initial_routes` are used permanently
     counter: Address | None
     peer_listen: Address | None
     peers: tuple[Address, ...]
@@ -119,29 +119,29 @@
     witness: ReconciliationOptions | None = None
     fleet: FleetOptions | None = None
     store: StoreOptions | None = None
-    platform_keys: Any = None  # of the platform's JSON, as reload.key_shape has them
-    max_unread_bytes: int = 32 * 1024 * 1024  # bytes that slow callers together may leave unread
+    platform_keys: Any = None  # the keys of the platform's JSON, from reload.key_shape
+    max_unread_bytes: int = 32 * 1024 * 1024  # of replies that slow clients together may leave unread
 
-    memory: int = 192 * 1024 * 1024  # bytes that this ingress may take
+    memory: int = 192 * 1024 * 1024  # bytes that this ingress may use
 
     @property
     def max_flow_bytes(self) -> int:
-        """Bytes of long values on their way to clients."""
+        """Limit of long values being streamed to clients."""
         return self.memory // 16
 
     @property
     def max_value_bytes(self) -> int:
-        """Bytes of long values that are gathered, as other requests were read behind them."""
+        """Limit of long values buffered whole because other requests were pipelined behind them."""
         return self.memory // 16
 
     @property
     def max_body_bytes(self) -> int:
-        """Bytes of long request bodies; while one is taken out of its buffer it lies there twice."""
+        """Limit of long request bodies. While one is copied out of its buffer, it is in memory twice."""
         return self.memory // 8
 
     @property
     def classes(self) -> dict[str, bool]:
-        """The classes by name; true where a request is safe to repeat."""
+        """The classes by name; true if their requests are safe to repeat."""
         return {kind.name: kind.effect is i.Effect.SAFE for kind in self.settings.classes}
 
     @property
--- a/standflow/config/reload.py
+++ b/standflow/config/reload.py
@@ -1,16 +1,17 @@
-"""What a file that is read anew must still hold: every key of the file in force."""
+"""Checks that a configuration read on reload still has every key of the one in force."""
 
 from __future__ import annotations
 
 from typing import Any
 
-LOOSE = frozenset(("known", "passed", "folder"))  # what may come and go, or is no key of the file
+# Optional keys, and those that do not come from the file.
+EXEMPT_KEYS = frozenset(("known", "passed", "folder"))
 
 
 def key_shape(raw: Any) -> Any:
-    """The keys of a JSON value, without the values; of a list of named objects the keys that all have."""
+    """The keys of a JSON value without its values; of a list of objects, the keys that all share."""
     if isinstance(raw, dict):
-        return {key: key_shape(value) for key, value in raw.items() if key not in LOOSE}
+        return {key: key_shape(value) for key, value in raw.items() if key not in EXEMPT_KEYS}
     if isinstance(raw, list) and raw and all(isinstance(one, dict) for one in raw):
         common = set.intersection(*(set(one) for one in raw))
         return [{key: key_shape(raw[0][key]) for key in raw[0] if key in common}]
@@ -18,7 +19,7 @@
 
 
 def first_missing_key(before: Any, after: Any) -> str:
-    """The path of the first key that the value before has and the one after lacks, or nothing."""
+    """The path of the first key of `before` that `after` lacks, or an empty string."""
     if isinstance(before, dict):
         for key, inner in before.items():
             if not isinstance(after, dict) or key not in after:
