--- a/standflow/config/platform.py
+++ b/standflow/config/platform.py
@@ -111,7 +111,7 @@
         name=_text(raw, "name"),
         listen=_required_address(raw, "listen"),
         ops=ops,
-        passed_fd=_passed(raw),
+        passed_fd=_passed_fd(raw),
         handover_folder=raw.get("folder") if raw.get("passed") else None,
         discovery=None if static else _required_address(raw, "discovery"),
         counter=counter,
@@ -123,7 +123,7 @@
         memory=int(memory * (1 << 20)),
         max_clients=usable * 55 // 100,
         max_connections=usable * 45 // 100,
-        initial_routes=_known(raw, zones, log),
+        initial_routes=_initial_routes(raw, zones, log),
         settings=settings,
         zones=zones,
         dial_timeout=_time(caps, "DialTimeoutUs", "settings.Caps."),
@@ -207,7 +207,7 @@
             raise ConfigError(f"peers[{number}]: {error}") from None
 
 
-def _passed(raw: dict[str, Any]) -> int | None:
+def _passed_fd(raw: dict[str, Any]) -> int | None:
     text = raw.get("passed")
     if text is None:
         return None
@@ -223,7 +223,9 @@
         raise ConfigError("seed: is missing or not a hexadecimal number") from None
 
 
-def _known(raw: dict[str, Any], zones: tuple[str, ...], log: Callable[[str], None]) -> RouteSet | None:
+def _initial_routes(
+    raw: dict[str, Any], zones: tuple[str, ...], log: Callable[[str], None]
+) -> RouteSet | None:
     if raw.get("known") is None:
         return None
     try:
@@ -233,13 +235,13 @@
 
 
 def _number(
-    raw: dict[str, Any], key: str, name: str, least: float, most: float, default: float | None = None
+    raw: dict[str, Any], key: str, name: str, minimum: float, maximum: float, default: float | None = None
 ) -> float:
     value = raw.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
         raise ConfigError(f"{name}: is missing or not a number")
-    if not least <= value <= most:
-        raise ConfigError(f"{name}: {value:g} is not between {least:g} and {most:g}")
+    if not minimum <= value <= maximum:
+        raise ConfigError(f"{name}: {value:g} is not between {minimum:g} and {maximum:g}")
     return value
 
 
--- a/standflow/config/schema.py
+++ b/standflow/config/schema.py
@@ -39,9 +39,11 @@
     return float(match[1]) * units[match[2]]
 
 
-def _check_bounds(value: float, least: float, most: float, format_value: Callable[[float], str]) -> float:
-    if not least <= value <= most:
-        raise InvalidValueError(f"expected {format_value(least)} to {format_value(most)}")
+def _check_bounds(
+    value: float, minimum: float, maximum: float, format_value: Callable[[float], str]
+) -> float:
+    if not minimum <= value <= maximum:
+        raise InvalidValueError(f"expected {format_value(minimum)} to {format_value(maximum)}")
     return value
 
 
@@ -53,7 +55,7 @@
     raise AssertionError
 
 
-def time(least: float = 1e-6, most: float = 86400.0) -> ValueType:
+def time(minimum: float = 1e-6, maximum: float = 86400.0) -> ValueType:
     """A time with its unit, converted to seconds."""
 
     def read(text: str) -> float:
@@ -62,52 +64,52 @@
             if text == "0"
             else _parse_amount(text, TIME_UNITS, "a time with its unit, such as 250ms or 15s")
         )
-        return _check_bounds(value, least, most, lambda v: format_time(v) if v else "0")
+        return _check_bounds(value, minimum, maximum, lambda v: format_time(v) if v else "0")
 
-    bounds = f"{format_time(least) if least else '0'} to {format_time(most)}"
+    bounds = f"{format_time(minimum) if minimum else '0'} to {format_time(maximum)}"
     return ValueType(f"time, {bounds}", read)
 
 
-def size(least: int = 0, most: int = 1 << 40) -> ValueType:
+def size(minimum: int = 0, maximum: int = 1 << 40) -> ValueType:
     """A size in bytes: 512, 64k, 1m."""
 
     def read(text: str) -> int:
         units: dict[str, float] = {**SIZE_UNITS}
         value = _parse_amount(text.lower(), units, "a size, such as 512, 64k or 1m")
-        return int(_check_bounds(value, least, most, lambda v: f"{v:g}"))
+        return int(_check_bounds(value, minimum, maximum, lambda v: f"{v:g}"))
 
     return ValueType("size, such as 512, 64k or 1m", read)
 
 
-def integer(least: int, most: int) -> ValueType:
+def integer(minimum: int, maximum: int) -> ValueType:
     """A whole number."""
 
     def read(text: str) -> int:
         if not re.fullmatch(r"\d{1,15}", text):
             raise InvalidValueError("expected a whole number")
-        return int(_check_bounds(int(text), least, most, lambda v: f"{v:g}"))
+        return int(_check_bounds(int(text), minimum, maximum, lambda v: f"{v:g}"))
 
-    return ValueType(f"whole number, {least} to {most:g}", read)
+    return ValueType(f"whole number, {minimum} to {maximum:g}", read)
 
 
-def number(least: float, most: float) -> ValueType:
+def number(minimum: float, maximum: float) -> ValueType:
     """A number, with or without a decimal point."""
 
     def read(text: str) -> float:
         value = _parse_amount(text, {"": 1.0}, "a number")
-        return _check_bounds(value, least, most, lambda v: f"{v:g}")
+        return _check_bounds(value, minimum, maximum, lambda v: f"{v:g}")
 
-    return ValueType(f"number, {least:g} to {most:g}", read)
+    return ValueType(f"number, {minimum:g} to {maximum:g}", read)
 
 
-def fraction(least: float, most: float) -> ValueType:
+def fraction(minimum: float, maximum: float) -> ValueType:
     """A fraction, written as 20% or 0.2."""
 
     def read(text: str) -> float:
         value = _parse_amount(text, {"": 1.0, "%": 0.01}, "a fraction, such as 20%")
-        return _check_bounds(value, least, most, lambda v: f"{v * 100:g}%")
+        return _check_bounds(value, minimum, maximum, lambda v: f"{v * 100:g}%")
 
-    return ValueType(f"fraction, {least * 100:g}% to {most * 100:g}%", read)
+    return ValueType(f"fraction, {minimum * 100:g}% to {maximum * 100:g}%", read)
 
 
 def one_of(*words: str) -> ValueType:
@@ -287,8 +289,8 @@
 
     def _setting(self, directive: Directive, statement: Statement, path: str) -> Setting | None:
         name, words = path + directive.name, statement.values
-        least, errors_before = len(directive.value_types), len(self.errors)
-        if len(words) < least or (len(words) > least and not directive.variadic):
+        min_count, errors_before = len(directive.value_types), len(self.errors)
+        if len(words) < min_count or (len(words) > min_count and not directive.variadic):
             expected = ", ".join(kind.name for kind in directive.value_types) or "no value"
             self.add_error(statement.name, name, f"has {len(words)} values; expected {expected}")
             return None
@@ -299,7 +301,7 @@
         values = []
         for index, word in enumerate(words):
             try:
-                values.append(directive.value_types[min(index, least - 1)].read(word.text))
+                values.append(directive.value_types[min(index, min_count - 1)].read(word.text))
             except InvalidValueError as error:
                 self.add_error(word, name, f"'{word.text}': {error}")
         raw_values = tuple(word.text for word in words)
--- a/standflow/counter/__init__.py
+++ b/standflow/counter/__init__.py
@@ -1,1 +1,1 @@
-"""The quota counter, a second witness beside the ring. Imported only where it is switched on."""
+"""Calls to the quota counter, and counter reconciliation. Imported only if the counter is used."""
--- a/tests/test_counter_program.py
+++ b/tests/test_counter_program.py
@@ -105,9 +105,7 @@
             one += served(first, 1, f"a{time.monotonic_ns()}x")
             return one >= 16
 
-        until(
-            most_of_the_burst
-        )  # in steps: before the counter is read, the fallback admits only four at once
+        until(most_of_the_burst)  # in steps: until the counter is read, the fallback admits four at once
         until(lambda: units_in_counter(door, 0) == one)
         before = read_by_the_other(door, 0)
         until(lambda: read_by_the_other(door, 0) >= before + 3)  # the second ingress has applied the total
