--- a/lab/bench_counter.py
+++ b/lab/bench_counter.py
@@ -38,7 +38,7 @@
 INGRESSES = 3
 RATE, BURST = 4.0, 12.0
 SPAN = 26.0  # seconds that tenants ask for
-GOES_AT = 12.0  # seconds until a case's failure begins: by then the counter is asked rarely (modes.CALM)
+GOES_AT = 12.0  # seconds until a case's failure, when few calls are made (modes.CROSS_CHECK_SHARE)
 WEIGHTS = (0.5, 0.3, 0.2)  # of a tenant's requests, through which ingress
 AT_ONCE = 6  # cases
 PARTS = 2  # of the counter
@@ -364,10 +364,10 @@
         for action in gateway.handle(now, i.TimerFired(0)):
             if isinstance(action, i.UseNoted):
                 a = action
-                ledger.noted(a.key, a.size, a.place, a.count, a.level, a.fullness, now)
-        ledger.due(now, 25, 0.3)
+                ledger.record_use(a.key, a.size, a.place, a.count, a.level, a.fullness, now)
+        ledger.due_calls(now, 25, 0.3)
         worst = max(worst, time.process_time() - began)
-    return resident() - before, worst, len(ledger.customers)
+    return resident() - before, worst, len(ledger.tenants)
 
 
 def resident() -> float:
--- a/standflow/assembly.py
+++ b/standflow/assembly.py
@@ -27,9 +27,9 @@
 from standflow.tally import EVERY, Tally
 
 if TYPE_CHECKING:
-    from standflow.counter.asking import Asking
-    from standflow.counter.ledger import Told
-    from standflow.counter.witness import Witness
+    from standflow.counter.ledger import RegisterReading
+    from standflow.counter.quota_calls import QuotaCalls
+    from standflow.counter.reconciliation import CounterReconciliation
     from standflow.fleet.member import Member
     from standflow.handshakes.limiter import HandshakeLimiter
     from standflow.ops.operations import Operations
@@ -84,7 +84,7 @@
             config.idle_limit,
             config.drain_grace,
             config.max_connections,
-            flows=Flows(config.max_flows),
+            flows=Flows(config.max_flow_bytes),
             rest=REST,
             **make,
         )
@@ -97,7 +97,7 @@
                 log,
                 config.discovery,
                 config.zones,
-                config.known.revision if config.known else None,
+                config.initial_routes.revision if config.initial_routes else None,
                 self._routes_told,
                 random.Random(config.seed),
                 self.tally,
@@ -118,24 +118,24 @@
         )
         self.exchange.decisions = self.driver
         self.handshake_limiter = self._make_handshake_limiter()
-        self.witness = self._make_witness()
-        self.asking = self._make_asking()
+        self.reconciliation = self._make_reconciliation()
+        self.quota_calls = self._make_quota_calls()
         self.speaks = True  # on the ring: of two processes of one ingress one alone does
         self.member: Member | None = None
         self.found: TrustedState | None = None  # in the store
-        if config.passed is None:
+        if config.passed_fd is None:
             self._listen_to_peers()
-        with named("listen" if config.passed is None else "EDGE_PASSED_SOCKET"):
+        with named("listen" if config.passed_fd is None else "EDGE_PASSED_SOCKET"):
             self.clients = ClientSide(
                 loop,
                 log,
                 self.exchange,
                 config.listen,
                 config.max_clients,
-                min(config.max_unread, config.memory // 4),
-                config.passed,
-                config.max_bodies,
-                config.max_values,
+                min(config.max_unread_bytes, config.memory // 4),
+                config.passed_fd,
+                config.max_body_bytes,
+                config.max_value_bytes,
             )
         self.shutdown = Shutdown(loop, log, self.clients, self.exchange)
         self.reloading = self._make_reloading()
@@ -157,7 +157,7 @@
                     config.settings.number,
                     self.driver.peer_told,
                     self.tally,
-                    shared=config.passed is not None,
+                    shared=config.passed_fd is not None,
                     open_to_all=config.fleet is not None and bool(config.fleet.seeds),
                 )
             self.member = self._make_member(self.peers)
@@ -195,7 +195,7 @@
 
     def _make_handover(self) -> Handover | None:
         """The meeting with other processes of this ingress, where the platform holds the listening socket."""
-        if self.config.passed is None or self.config.folder is None:
+        if self.config.passed_fd is None or self.config.handover_folder is None:
             return None
         from standflow.upgrade.handover import Handover, Parts
 
@@ -215,7 +215,7 @@
             evacuated=lambda: (clients.evacuated, clients.evacuated_at),
             evacuate=clients.evacuate,
         )
-        return Handover(self.loop, self.log, self.config.folder, self.config.name, parts)
+        return Handover(self.loop, self.log, self.config.handover_folder, self.config.name, parts)
 
     def _make_store(self) -> StateStoreWriter | None:
         """What outlives a power loss, where the operator's file has a place for it."""
@@ -249,8 +249,8 @@
             evacuation=lambda: (clients.evacuated, clients.evacuated_at),
             members=lambda: None if self.member is None else self.member.counted_members(),
         )
-        store = Store(config.store.folder, whose, config.store.most)
-        return StateStoreWriter(self.loop, self.log, store, config.store.every, callbacks)
+        store = Store(config.store.folder, whose, config.store.max_bytes)
+        return StateStoreWriter(self.loop, self.log, store, config.store.write_interval, callbacks)
 
     def _trusted(self) -> TrustedState | None:
         """What the store says, and of it what operators said is in force."""
@@ -294,15 +294,15 @@
         """Two processes of one ingress have its descriptors and its memory between them."""
         config, part = self.config, 2 if another else 1
         self.next_hops.max_connections = config.max_connections // part
-        self.next_hops.flows.budget = config.max_flows // part
-        self.clients.bodies.budget = config.max_bodies // part
-        self.clients.values.budget = config.max_values // part
+        self.next_hops.flows.budget = config.max_flow_bytes // part
+        self.clients.bodies.budget = config.max_body_bytes // part
+        self.clients.values.budget = config.max_value_bytes // part
 
     def _make_reloading(self) -> Reloading:
-        routes, tls, calls = self.routes, self.tls, self.witness or self.asking
+        routes, tls, calls = self.routes, self.tls, self.reconciliation or self.quota_calls
         parts = ReloadParts(
             move_discovery=None if routes is None else routes.move,
-            move_counter=None if calls is None else calls.client.move,
+            move_counter=None if calls is None else calls.client.switch_address,
             reload_tls=None if tls is None else tls.reload,
         )
         return Reloading(self.loop, self.log, self.config, self.exchange, self.driver, parts)
@@ -369,7 +369,9 @@
         warm_up = WarmUp(settings.cold_from, settings.cold_time)
         chance = random.Random(self.config.seed + 1)
         limits = Limits(options, warm_up, settings.gateways, settings.number, chance, self.driver.offset)
-        limiter = HandshakeLimiter(self.loop, self.log, limits, self.next_hops, self._show, options.ready)
+        limiter = HandshakeLimiter(
+            self.loop, self.log, limits, self.next_hops, self._show, options.ready_connections
+        )
         if tls is not None:
             limiter.resumable, limiter.forget, tls.changed = (
                 tls.resumable,
@@ -378,44 +380,44 @@
             )
         return limiter
 
-    def _make_witness(self) -> Witness | None:
+    def _make_reconciliation(self) -> CounterReconciliation | None:
         """The counter beside the ring, where it is switched on."""
         options, counter = self.config.witness, self.config.counter
         if options is None or counter is None:
             return None
-        from standflow.counter.modes import Modes
-        from standflow.counter.witness import Witness
+        from standflow.counter.modes import ModeTracker
+        from standflow.counter.reconciliation import CounterReconciliation
 
-        witness = Witness(
+        reconciliation = CounterReconciliation(
             self.loop,
             self.log,
             options,
             counter,
             self._use_told,
-            Modes(self.driver.module.epoch, self.loop.now()),
+            ModeTracker(self.driver.module.epoch, self.loop.now()),
             self.driver.heard,
         )
-        self.driver.noted = witness.noted
-        return witness
+        self.driver.noted = reconciliation.record_use
+        return reconciliation
 
-    def _make_asking(self) -> Asking | None:
+    def _make_quota_calls(self) -> QuotaCalls | None:
         """The counter in the ring's place, where settings allow calls of it and no word to peers."""
         settings, counter = self.config.settings, self.config.counter
         if counter is None or not self.driver.module.counting:
             return None
-        from standflow.counter.asking import Asking
+        from standflow.counter.quota_calls import QuotaCalls
 
         limit, tell = settings.count_limit, self.driver.counted
-        asking = Asking(self.loop, self.log, counter, limit, tell, self.tally)
-        self.driver.count = asking.count
-        return asking
+        quota_calls = QuotaCalls(self.loop, self.log, counter, limit, tell, self.tally)
+        self.driver.count = quota_calls.count
+        return quota_calls
 
-    def _use_told(self, told: Told) -> None:
-        self.driver.use_told(told.key, told.place, told.count, told.level)
+    def _use_told(self, told: RegisterReading) -> None:
+        self.driver.use_told(told.key, told.ring_index, told.count, told.level)
 
     def start(self) -> None:
         """Begins to serve: the saved list first, then discovery's word, then the callers."""
-        known, found = self.config.known, self._trusted()
+        known, found = self.config.initial_routes, self._trusted()
         if found is not None and found.next_hops and self.routes is not None:
             # candidates until discovery speaks; of it the whole list is asked for, whatever its revision is
             raw = {"revision": 0, "complete": True, "members": found.next_hops}
@@ -454,7 +456,7 @@
     def _begin(self) -> None:
         """Callers are served from now on."""
         if not self.clients.ready:
-            if self.config.passed is not None:
+            if self.config.passed_fd is not None:
                 try:
                     self._listen_to_peers()
                 except ConfigError as error:  # the ring does without this ingress
@@ -503,7 +505,7 @@
         """Ends every connection; each leaves its line in the log."""
         parts = (
             *(self.clients, self.next_hops, self.ops, self.handover, self.store),
-            *(self.witness, self.asking, self.member, self.routes),
+            *(self.reconciliation, self.quota_calls, self.member, self.routes),
         )
         closes = [part.close for part in parts if part is not None]
         last_counts = [] if self.tls is None else [self.tls.tell_counts]
--- a/standflow/handshakes/limits.py
+++ b/standflow/handshakes/limits.py
@@ -218,11 +218,13 @@
     def _time_slots(self, hop: str, state: _HopState) -> TimeSlots:
         # A cold next hop has lost its sessions, so every slot is sized for a full handshake.
         cost, cores = self.costs.cost(state.kind, False), self._cores(state.kind)
-        return TimeSlots(self.warm_up, cores, self.options.share, cost, self.ingresses, self.number, hop)
+        return TimeSlots(self.warm_up, cores, self.options.cold_share, cost, self.ingresses, self.number, hop)
 
     def _wall_clock_slots(self, hop: str, state: _HopState) -> TimeSlots:
         cost, cores = self.costs.cost(state.kind, False), self._cores(state.kind)
-        return WallClockSlots(self.warm_up, cores, self.options.share, cost, self.ingresses, self.number, hop)
+        return WallClockSlots(
+            self.warm_up, cores, self.options.cold_share, cost, self.ingresses, self.number, hop
+        )
 
     def _cores(self, kind: str) -> float:
         return self.options.cores.get(kind, self.options.cores.get("*", 1.0))
--- a/tests/test_handshakes.py
+++ b/tests/test_handshakes.py
@@ -29,14 +29,14 @@
 
 WARM_UP = WarmUp(0.15, 17.0)
 OPTIONS = HandshakeOptions(
-    share=0.2,
+    cold_share=0.2,
     warm_share=0.5,
     cores={},
     cost=0.0007,
     resumed_cost=0.0005,
     back_off=(0.1, 5.0),
-    ready=1,
-    plain=False,
+    ready_connections=1,
+    limit_plain=False,
 )
 SLOW = settings(derandomize=True, max_examples=40, deadline=None)
 
@@ -135,9 +135,9 @@
         begin = begun[first]
         able = WARM_UP.work(at, cores) - WARM_UP.work(begin, cores)
         # of n handshakes that begin in a window, n - 1 fit into it and one more is in flight
-        assert (last - first + 1) * cost <= OPTIONS.share * able + 2 * cost + 1e-6
+        assert (last - first + 1) * cost <= OPTIONS.cold_share * able + 2 * cost + 1e-6
     if dead == 0 and restarts == 0 and learns == 0.0 and ingresses <= 3 and cost <= 0.002:
-        whole = OPTIONS.share * WARM_UP.work(16.9, cores) / cost
+        whole = OPTIONS.cold_share * WARM_UP.work(16.9, cores) / cost
         assert len(begun) > 0.5 * whole / ingresses  # the share is used, not only limited
 
 
@@ -390,7 +390,7 @@
             self.limits,
             rig.side,
             self.published.append,
-            changes.get("ready", 1),
+            changes.get("ready_connections", 1),
         )
         self.limiter.resumable, self.limiter.forget = rig.streams.resumable, rig.streams.forget
         rig.streams.changed = self.limiter.replace_connections
@@ -443,7 +443,7 @@
     assert limited.limiter.denied == 1
     # the refused branch makes the limiter open another one at its next slot, well after the first
     limited.until(lambda: tls_rig.box.counts.connections == 2)
-    assert limited.rig.at.loop.now() - began > 20 * OPTIONS.cost / OPTIONS.share
+    assert limited.rig.at.loop.now() - began > 20 * OPTIONS.cost / OPTIONS.cold_share
     assert not tls_rig.at.gone
 
 
@@ -490,7 +490,7 @@
 
 
 def test_connections_on_old_material_are_replaced_one_by_one_and_open_requests_finish(tls_rig: Any) -> None:
-    limited = LimitedRig(tls_rig, ready=3)
+    limited = LimitedRig(tls_rig, ready_connections=3)
     limited.report()
     limited.until(lambda: limited.published_hops() == ["tt-07"])
     tls_rig.box.mode.silent = True
@@ -521,7 +521,7 @@
 def test_losing_the_last_connection_suspects_a_restart_and_closing_one_does_not(
     tls_rig: Any,
 ) -> None:
-    limited = LimitedRig(tls_rig, ready=2)
+    limited = LimitedRig(tls_rig, ready_connections=2)
     limited.report()
     limited.until(lambda: limited.published_hops() == ["tt-07"])
     # the second connection may have resumed the first one's session, so that none may be left
