--- a/standflow/assembly.py
+++ b/standflow/assembly.py
@@ -315,7 +315,7 @@
             ready=lambda: self.clients.ready,
             stopping=lambda: self.shutdown.begun,
             counts=lambda: Counts(
-                ends=self.exchange.ends,
+                by_class=self.exchange.counts,
                 forwards=self.next_hops.forwards,
                 outstanding=self.exchange.open_count,
                 sighup_applied=self.reloading.applied,
--- a/standflow/driver.py
+++ b/standflow/driver.py
@@ -12,7 +12,7 @@
 from hoistfold import interface as i
 from hoistfold.brain import Gateway
 from standflow.exchange import (
-    Abandoned,
+    AbandonReason,
     Branch,
     Exchange,
     Outcome,
@@ -112,7 +112,7 @@
             name = type(event).__name__
             self.log(f"fault of the module on {name}: " + traceback.format_exc().replace("\n", " | "))
             if transaction is not None:
-                self.exchange.abandon(transaction, Abandoned.FAULT)
+                self.exchange.abandon(transaction, AbandonReason.FAULT)
                 if not isinstance(event, i.RequestGone):  # what the module may still hold of it is over
                     self.events.append((i.RequestGone(transaction.name), None))
             return
@@ -131,7 +131,7 @@
             request=transaction.name,
             class_name=request.class_name,
             plan=request.plan,
-            customer=request.customer,
+            customer=request.tenant,
             time_left=transaction.deadline - self.loop.now(),
             units=request.units,
             ring_size=request.ring_size,
@@ -143,7 +143,7 @@
         """RequestGone."""
         self.feed(i.RequestGone(transaction.name))
 
-    def branch_began(self, branch: Branch, latency: float) -> None:
+    def stream_started(self, branch: Branch, latency: float) -> None:
         """StreamStarted."""
         self.feed(i.StreamStarted(branch.transaction.name, branch.number, branch.hop, latency))
 
--- a/standflow/net/client_connection.py
+++ b/standflow/net/client_connection.py
@@ -10,12 +10,12 @@
 from standflow.exchange import (
     Exchange,
     Failed,
-    Final,
+    FinalAnswer,
+    InvalidRequestError,
     Refused,
     Request,
     Served,
     Transaction,
-    UnacceptableError,
 )
 from standflow.net import resp
 from standflow.net.bodies import Bodies
@@ -249,14 +249,14 @@
                     slot.answer = self.side.pong()
                 elif self.side.dismissed or self.refusing:
                     self.side.exchange.tally("refused.leaving")
-                    slot.answer = encode_final(Refused(self.side.exchange.come_back))
+                    slot.answer = encode_final(Refused(self.side.exchange.default_retry_after))
                 elif self.left:
                     # Never opened: the end of the connection comes next.
                     self.side.exchange.tally("left.unread")
                 else:
                     self._open(slot, command, room)
                     room = 0  # the exchange gives it back
-            except (resp.CommandError, UnacceptableError) as error:
+            except (resp.CommandError, InvalidRequestError) as error:
                 slot.answer = resp.error(str(error))
             if room:
                 self.side.bodies.release(room)
@@ -276,7 +276,7 @@
 
     def _open(self, slot: Slot, ask: resp.Ask, room: int) -> None:
         exchange = self.side.exchange
-        if (said := exchange.effects(ask.class_name)) and ask.safe not in said:
+        if (said := exchange.safe_flags(ask.class_name)) and ask.safe not in said:
             raise resp.CommandError("the class goes with the other command")
         request = Request(
             ask.class_name,
@@ -291,7 +291,7 @@
             (lambda: self.side.bodies.release(room)) if room else None,
         )
 
-        def reply(final: Final) -> None:
+        def reply(final: FinalAnswer) -> None:
             if isinstance(final, Served) and isinstance(final.value, Flow):
                 slot.answer, slot.flow = resp.bulk_head(final.value.size), final.value
                 final.value.wake = lambda: self._woken(slot)
@@ -399,7 +399,7 @@
         if slot.flow is None or slot.begun or transaction is None:
             return
         self._fail_value(slot)
-        self.side.exchange.value_late(transaction)
+        self.side.exchange.value_timed_out(transaction)
         self._answered()
 
     def _fail_value(self, slot: Slot) -> None:
@@ -440,7 +440,7 @@
     """A value that has ended wakes nobody."""
 
 
-def encode_final(final: Final) -> bytes:
+def encode_final(final: FinalAnswer) -> bytes:
     """A final answer on the wire."""
     if isinstance(final, Served):
         return resp.bulk(final.value)
--- a/standflow/net/nexthop.py
+++ b/standflow/net/nexthop.py
@@ -119,15 +119,15 @@
         def ended(result: Result) -> None:
             self.exchange.branch_ended(branch, result)
 
-        branch.carrier = PendingCommand(encode, read_answer, ended)
-        branch.carrier.counted = True
-        branch.carrier.until = branch.deadline
-        branch.carrier.begin = lambda flow: self.exchange.branch_began(branch, flow)
-        self._carry(branch.hop, branch.carrier)
+        branch.context = PendingCommand(encode, read_answer, ended)
+        branch.context.counted = True
+        branch.context.until = branch.deadline
+        branch.context.begin = lambda flow: self.exchange.stream_started(branch, flow)
+        self._carry(branch.hop, branch.context)
 
     def give_up(self, branch: Branch) -> bool:
         """Closes the branch's connection; see exchange.NextHopSide."""
-        pending: PendingCommand = branch.carrier
+        pending: PendingCommand = branch.context
         connection = pending.connection
         if connection is not None and connection.pending is pending:
             connection.pending = None
@@ -136,7 +136,7 @@
 
     def unsent(self, branch: Branch) -> bool:
         """See exchange.NextHopSide."""
-        return not branch.carrier.whole
+        return not branch.context.whole
 
     def probe(self, name: str, ended: Callable[[Result], None]) -> None:
         """PING, on a connection like any other; given up when the dialling time is over twice."""
--- a/standflow/ops/figures.py
+++ b/standflow/ops/figures.py
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from standflow.exchange import Ends
+from standflow.exchange import TransactionCounts
 
 
 @dataclass(slots=True, frozen=True)
 class Counts:
     """Counts since the start, but for `outstanding`, which is of now."""
 
-    ends: Mapping[str, Ends]  # by class
+    by_class: Mapping[str, TransactionCounts]  # by class
     forwards: int
     outstanding: int
     sighup_applied: int
@@ -68,7 +68,7 @@
 def text(figures: Figures) -> str:
     """One figure a line, `name=value`."""
     lines, counts = [], figures.counts
-    for name, ends in sorted(counts.ends.items()):
+    for name, ends in sorted(counts.by_class.items()):
         for key in ("succeeded", "declined", "aborted"):
             lines.append(f"results.{name}.{key}={getattr(ends, key)}")
     for key, value in (
--- a/standflow/reloading.py
+++ b/standflow/reloading.py
@@ -112,7 +112,7 @@
             return False
         known = {kind.name: kind for kind in (*self.driver.settings.classes, *before.classes)}
         settings = replace(before, classes=after.classes, max_attempts=after.max_attempts)
-        leaving = self.exchange.retune(config.classes, after.max_attempts)
+        leaving = self.exchange.reconfigure(config.classes, after.max_attempts)
         dropped = tuple(known[name] for name in leaving if name not in config.classes)
         self.driver.retune(replace(settings, classes=(*after.classes, *dropped)))
         self.retuned += 1
@@ -122,5 +122,5 @@
 
     def _settled(self, serial: int, settings: Settings) -> None:
         if serial == self.retuned:
-            self.exchange.settled()
+            self.exchange.finish_reconfigure()
             self.driver.retune(settings)
--- a/standflow/shutdown.py
+++ b/standflow/shutdown.py
@@ -57,7 +57,7 @@
     def _follow(self, plan: ShutdownSchedule, begun_at: float) -> None:
         """Has everything done at its moment."""
         self.plan = plan
-        self.exchange.answer_by(begun_at + plan.answer_all)
+        self.exchange.set_final_deadline(begun_at + plan.answer_all)
         # A listener that was passed in goes on with the next process: this one leaves it at once.
         stop_accepting = 0.0 if self.clients.shared else plan.stop_accepting
         serve_for = plan.stop_serving - stop_accepting
--- a/tests/test_always_answered.py
+++ b/tests/test_always_answered.py
@@ -82,7 +82,7 @@
     def transaction_gone(self, transaction: Transaction) -> None:
         """Nothing."""
 
-    def branch_began(self, branch: Branch, latency: float) -> None:
+    def stream_started(self, branch: Branch, latency: float) -> None:
         """Nothing."""
 
     def branch_ended(self, branch: Branch, result: Result, latency: float, finished: bool) -> None:
@@ -147,7 +147,7 @@
         ingress.stop()
         ingress.shutdown.answer_all()
         assert ingress.exchange.open_count == 0
-        assert ingress.exchange.ends["look"].taken == MAX_PIPELINED
+        assert ingress.exchange.counts["look"].taken == MAX_PIPELINED
         if not held_up:
             turn_until(loop, lambda: loop.stopped)
         ingress.close()
@@ -189,7 +189,7 @@
         assert wired.hops.forwards == 12
         assert wired.at.exchange.open_count == 0
         assert wired.at.exchange.transactions == {}
-        assert wired.at.exchange.idents == set()
+        assert wired.at.exchange.open_idents == set()
         wired.at.close()
 
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -45,7 +45,7 @@
         self.loop = Loop(self.log.append)
         kinds = {"look": True, "change": False}
         self.exchange = Exchange(
-            self.loop, self.log.append, kinds, frozenset(["plain"]), 1000, 100, come_back=0.25
+            self.loop, self.log.append, kinds, frozenset(["plain"]), 1000, 100, default_retry_after=0.25
         )
         self.exchange.decisions = self
         self.opened: list[Transaction] = []
@@ -59,7 +59,7 @@
     def transaction_gone(self, transaction: Transaction) -> None:
         self.gone.append(transaction)
 
-    def branch_began(self, branch: Branch, latency: float) -> None:
+    def stream_started(self, branch: Branch, latency: float) -> None:
         self.began.append(branch)
 
     def branch_ended(self, branch: Branch, result: Result, latency: float, finished: bool) -> None:
@@ -170,7 +170,7 @@
     def nothing_is_answered_twice(self) -> None:
         if hasattr(self, "at"):
             assert self.at.exchange.open_count == len(self.open)
-            assert sum(ends.open for ends in self.at.exchange.ends.values()) == len(self.open)
+            assert sum(ends.open for ends in self.at.exchange.counts.values()) == len(self.open)
 
     def teardown(self) -> None:
         if hasattr(self, "at"):
@@ -225,7 +225,7 @@
         else:
             sock = self.accepted()
             sock.settimeout(20)
-        turn_until(self.at.loop, lambda: branch.carrier.whole)
+        turn_until(self.at.loop, lambda: branch.context.whole)
         read_until(sock, b"units=1\r\n")
         self.busy.append((branch, sock))
 
@@ -256,7 +256,7 @@
             sock.close()
             self.ends += 1
         self.expected[branch] = outcome
-        turn_until(self.at.loop, lambda: branch.ended is not None)
+        turn_until(self.at.loop, lambda: branch.outcome is not None)
 
     @precondition(lambda self: self.busy)
     @rule(which=st.integers(0, 1000))
@@ -368,9 +368,9 @@
         if ran:
             branch = Branch(transaction, 0, "s-1", 0.0, 0.0)
             transaction.branches.append(branch)
-            transaction.out += 1
+            transaction.running += 1
         turn_until(at.loop, lambda: got)  # noqa: B023
-        assert at.loop.now() >= transaction.deadline - Exchange.GUARD
+        assert at.loop.now() >= transaction.deadline - Exchange.DEADLINE_MARGIN
         assert at.gone[number] is transaction
         at.exchange.refuse(transaction.name, 1.0)
         at.exchange.fail(transaction.name)
@@ -394,7 +394,7 @@
     branch = at.exchange.send(at.exchange.open(request, at.loop.now(), lambda final: None).name, "s-1", None)
     with hop.accept()[0] as sock:
         assert branch is not None
-        turn_until(at.loop, lambda: branch.carrier.whole)
+        turn_until(at.loop, lambda: branch.context.whole)
         sock.sendall(b"*3\r\n$900\r\nvalue\r\n$-1\r\n$-1\r\n")
         turn_until(at.loop, lambda: at.ended)
     assert at.ended == [(branch, Outcome.ERROR)]
@@ -410,7 +410,7 @@
     transaction = at.exchange.open(request, at.loop.now(), finals.append)
     branch = Branch(transaction, 0, "s-1", 0.0, 60.0)
     transaction.branches.append(branch)
-    transaction.out += 1
+    transaction.running += 1
     sent = at.exchange.send(transaction.name, "s-1", None)
     assert sent is not None
     assert at.ended == [(sent, Outcome.MOOT)]
@@ -439,11 +439,11 @@
     at.branch_ended = branch_ended  # type: ignore[method-assign]
     at.exchange.send(names[0], "s-1", None)
     first, _ = hop.accept()
-    turn_until(at.loop, lambda: at.exchange.transactions[names[0]].branches[0].carrier.whole)
+    turn_until(at.loop, lambda: at.exchange.transactions[names[0]].branches[0].context.whole)
     first.sendall(b"-BUSY\r\n")
     turn_until(at.loop, lambda: at.ended)
     second, _ = hop.accept()
-    turn_until(at.loop, lambda: at.exchange.transactions[names[1]].branches[0].carrier.whole)
+    turn_until(at.loop, lambda: at.exchange.transactions[names[1]].branches[0].context.whole)
     second.sendall(b"-BUSY\r\n")
     turn_until(at.loop, lambda: len(at.ended) == 2)
     assert [outcome for _, outcome in at.ended] == [Outcome.FULL, Outcome.FULL]
@@ -566,7 +566,7 @@
             turn_until(at.loop, lambda: len(at.opened) > MAX_PIPELINED)
         turn_until(at.loop, lambda: len(at.opened) == MAX_PIPELINED + 2)
         for transaction in at.opened[MAX_PIPELINED:]:
-            assert transaction.deadline - transaction.request.patience <= since
+            assert transaction.deadline - transaction.request.timeout <= since
     at.close()
 
 
@@ -582,7 +582,7 @@
     first = at.exchange.send(names[0], "s-1", None)
     with hop.accept()[0] as sock:
         assert first is not None
-        turn_until(at.loop, lambda: first.carrier.whole)
+        turn_until(at.loop, lambda: first.context.whole)
         sock.sendall(b"-BUSY\r\n")
         turn_until(at.loop, lambda: at.ended)
         idle = side.hops["s-1"].idle[0]
@@ -590,11 +590,11 @@
         second = at.exchange.send(names[1], "s-1", None)
         assert second is not None
         with hop.accept()[0] as other:
-            turn_until(at.loop, lambda: second.carrier.whole)
+            turn_until(at.loop, lambda: second.context.whole)
             read_until(other, b"units=1\r\n")
             other.sendall(b"-BUSY\r\n")
-            turn_until(at.loop, lambda: second.ended)
-    assert second.ended is Outcome.FULL
+            turn_until(at.loop, lambda: second.outcome)
+    assert second.outcome is Outcome.FULL
     assert any("end nexthop s-1 stale served=1" in line for line in at.log)
     hop.close()
     at.close()
--- a/tests/test_handshakes.py
+++ b/tests/test_handshakes.py
@@ -426,10 +426,10 @@
     began = kept.rig.at.loop.now()
     kept.until(lambda: kept.shown_hops() == ["tt-07"] and rigged.box.counts.full == 1)
     first, second = rigged.send(), rigged.send()  # one connection is ready, and no turn for another one
-    kept.until(lambda: second.ended is not None)
-    assert second.ended is Outcome.MOOT
-    kept.until(lambda: first.ended is not None)
-    assert first.ended is Outcome.OK
+    kept.until(lambda: second.outcome is not None)
+    assert second.outcome is Outcome.MOOT
+    kept.until(lambda: first.outcome is not None)
+    assert first.outcome is Outcome.OK
     assert kept.keeper.denied == 1
     # it was wanted: another one is opened ahead at the next turn, well after the first
     kept.until(lambda: rigged.box.counts.connections == 2)
@@ -473,8 +473,8 @@
     kept.until(lambda: rigged.ends().count("cut_off") == 4)
     assert kept.shown_hops() == []
     branch = rigged.send()
-    kept.until(lambda: branch.ended is not None)
-    assert branch.ended is Outcome.CONNECT_FAILED
+    kept.until(lambda: branch.outcome is not None)
+    assert branch.outcome is Outcome.CONNECT_FAILED
     rigged.box.mode = Mode()
     kept.until(lambda: kept.shown_hops() == ["tt-07"])
 
@@ -485,11 +485,11 @@
     kept.until(lambda: kept.shown_hops() == ["tt-07"])
     rigged.box.mode.silent = True
     busy = rigged.send()
-    kept.until(lambda: busy.carrier.whole)
+    kept.until(lambda: busy.context.whole)
     rigged.streams.reload(rigged.streams.options)
     rigged.box.mode = Mode()
     kept.until(lambda: rigged.ends().count("rotated") == 2)
-    assert busy.ended is None  # on the old material, and it stays until it is done
+    assert busy.outcome is None  # on the old material, and it stays until it is done
     assert {one.stream.generation for one in rigged.side.hops["tt-07"].idle} == {2}
     assert rigged.ask() is Outcome.OK
     rigged.at.exchange.cancel(busy.transaction.name, busy.number)
@@ -522,8 +522,8 @@
     kept.until(lambda: not rigged.side.hops["tt-07"].connections)
     assert kept.limits.doubted("tt-07", kept.rig.at.loop.now())
     branch = rigged.send()
-    kept.until(lambda: branch.ended is not None)
-    assert branch.ended in (Outcome.MOOT, Outcome.OK)  # by whose turn it is just now
+    kept.until(lambda: branch.outcome is not None)
+    assert branch.outcome in (Outcome.MOOT, Outcome.OK)  # by whose turn it is just now
     kept.until(lambda: rigged.streams.resumed + rigged.streams.full > done)
     if rigged.streams.resumed > before:  # it was no restart: its sessions are kept
         assert not kept.limits.doubted("tt-07", kept.rig.at.loop.now())
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -144,7 +144,7 @@
     transaction = rig.at.opened[0]
     again = rig.at.exchange.send(transaction.name, "s-1", None)
     assert again is not None
-    assert again.ended is Outcome.MOOT
+    assert again.outcome is Outcome.MOOT
     end = rig.at.loop.now() + 0.4
     rig.until(lambda: rig.at.loop.now() > end)  # past its deadline
     assert rig.at.exchange.open_count == 1
@@ -153,7 +153,7 @@
     assert bytes(rig.got) == b"$%d\r\n%b\r\n" % (len(LONG), LONG)
     rig.until(lambda: rig.at.exchange.open_count == 0)
     assert [outcome for _, outcome in rig.at.ended] == [Outcome.MOOT, Outcome.OK]
-    assert (rig.at.exchange.ends["look"].succeeded, rig.hops.flows.open) == (1, 0)
+    assert (rig.at.exchange.counts["look"].succeeded, rig.hops.flows.open) == (1, 0)
     rig.caller.sendall(command("aa02"))  # both connections go on
     rig.until(lambda: len(rig.at.opened) == 2)
     rig.at.exchange.send(rig.at.opened[1].name, "s-1", None)
@@ -180,7 +180,7 @@
         assert any(line.startswith("end caller cut_off") for line in rig.at.log)
     assert value.startswith(bytes(rig.got))
     assert (bytes(rig.got) == value) == whole
-    ends = rig.at.exchange.ends["look"]
+    ends = rig.at.exchange.counts["look"]
     assert (ends.succeeded, ends.aborted) == (whole, bool(rig.at.began) and not whole)
     rig.close()
 
@@ -350,7 +350,7 @@
     rig.caller.close()
     turn_until(rig.at.loop, lambda: rig.at.ended)
     assert rig.at.ended[0][1] is Outcome.CANCELLED
-    assert (rig.at.exchange.ends["look"].gone, rig.at.exchange.open_count, rig.hops.flows.open) == (1, 0, 0)
+    assert (rig.at.exchange.counts["look"].gone, rig.at.exchange.open_count, rig.hops.flows.open) == (1, 0, 0)
     writer.join(LIMIT)
     rig.close()
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -17,7 +17,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from standflow.exchange import Ends, Phase, Route, RouteSet
+from standflow.exchange import Phase, Route, RouteSet, TransactionCounts
 from standflow.net.client_side import PRESS
 from standflow.net.loop import IN, Coroutine, Loop
 from standflow.net.nexthop import REST
@@ -105,7 +105,7 @@
 
 
 def test_the_figures_text_has_one_figure_a_line() -> None:
-    ends = {"view": Ends(9, 4, 2, 1, 1), "change": Ends()}
+    ends = {"view": TransactionCounts(9, 4, 2, 1, 1), "change": TransactionCounts()}
     text = figures.text(figures.Figures(figures.Counts(ends, 7, 1, 1, 0), 5, 2))
     assert text.startswith("results.change.succeeded=0\nresults.change.declined=0\n")
     assert "results.view.succeeded=4\nresults.view.declined=2\nresults.view.aborted=1\nforwards=7\n" in text
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -15,7 +15,7 @@
 from standflow.config import load
 from standflow.config.model import ConfigError
 from standflow.config.reload import missing, shape
-from standflow.exchange import Branch, Outcome, Request, Result, UnacceptableError
+from standflow.exchange import Branch, InvalidRequestError, Outcome, Request, Result
 from standflow.net.nexthop import REST
 from tests.test_connections import Recorder
 from tests.test_ops import VALUE, shown, with_ops
@@ -96,23 +96,23 @@
 def test_what_is_open_keeps_its_class_and_the_smaller_number_of_attempts() -> None:
     at, finals = Recorder(), list[object]()
     at.exchange.next_hops = Silent()
-    at.exchange.retune({"look": True, "change": False}, 3)
-    at.exchange.settled()
+    at.exchange.reconfigure({"look": True, "change": False}, 3)
+    at.exchange.finish_reconfigure()
     safe, unsafe = ask(at, "look", finals), ask(at, "change", finals)
-    assert at.exchange.retune({"look": False, "new": True}, 9) == {"look": True, "change": False}
-    assert at.exchange.effects("look") == {True, False}
+    assert at.exchange.reconfigure({"look": False, "new": True}, 9) == {"look": True, "change": False}
+    assert at.exchange.safe_flags("look") == {True, False}
     late = ask(at, "look", finals)  # its caller may know the file or not
-    at.exchange.settled()
+    at.exchange.finish_reconfigure()
     assert (safe.safe, unsafe.safe, late.safe, ask(at, "new", finals).safe) == (True, False, False, True)
-    with pytest.raises(UnacceptableError, match="unknown class"):
+    with pytest.raises(InvalidRequestError, match="unknown class"):
         ask(at, "change", finals)
     for transaction, sent in ((safe, 3), (unsafe, 1)):
         for _ in range(5):
             branch = at.exchange.send(transaction.name, "s-1", None)
             assert branch is not None
-            if branch.ended is None:
+            if branch.outcome is None:
                 at.exchange.branch_ended(branch, Result(Outcome.TIMEOUT))
-        assert sum(b.ended is Outcome.TIMEOUT for b in transaction.branches) == sent
+        assert sum(b.outcome is Outcome.TIMEOUT for b in transaction.branches) == sent
     at.close()
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -208,7 +208,7 @@
     now = at.loop.now()
     before = at.exchange.open(request("a", 60.0), now, lambda final: None)
     short = at.exchange.open(request("b", 0.2), now, lambda final: None)
-    at.exchange.answer_by(now + 1.0)
+    at.exchange.set_final_deadline(now + 1.0)
     late = at.exchange.open(request("c", 60.0), now, lambda final: None)
     assert (before.deadline, short.deadline, late.deadline) == (now + 1.0, now + 0.2, now + 1.0)
     at.close()
@@ -217,7 +217,7 @@
 def test_a_request_after_the_last_answers_is_refused_and_not_opened() -> None:
     """The loop may be late: what it reads comes before the timer that was due."""
     at = Recorder()
-    at.exchange.answer_by(at.loop.now())
+    at.exchange.set_final_deadline(at.loop.now())
     finals: list[object] = []
     at.exchange.open(request("a", 60.0), at.loop.now(), finals.append)
     assert finals == [Refused(0.25)]
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -94,9 +94,9 @@
 
     def ask(self, kind: str = "change", body: bytes | None = None) -> Outcome:
         branch = self.send(kind, body)
-        turn_until(self.at.loop, lambda: branch.ended is not None)
-        assert branch.ended is not None
-        return branch.ended
+        turn_until(self.at.loop, lambda: branch.outcome is not None)
+        assert branch.outcome is not None
+        return branch.outcome
 
     def ends(self) -> list[str]:
         return [line.split()[3] for line in self.at.log if line.startswith("end nexthop")]
@@ -316,15 +316,15 @@
 
         at.side.make = small
         branch = at.send(body=b"b" * 65000)
-        turn_until(at.at.loop, lambda: branch.carrier.begun)
+        turn_until(at.at.loop, lambda: branch.context.begun)
         rounds = at.at.loop.round + 20
         turn_until(at.at.loop, lambda: at.at.loop.round >= rounds)
-        assert not branch.carrier.whole
+        assert not branch.context.whole
         thread.join(LIMIT)
         held[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         held[0].sock.close()
-        turn_until(at.at.loop, lambda: branch.ended is not None)
-        assert branch.ended is Outcome.CONNECT_FAILED
+        turn_until(at.at.loop, lambda: branch.outcome is not None)
+        assert branch.outcome is Outcome.CONNECT_FAILED
 
 
 def test_a_long_body_lies_in_memory_once_and_comes_whole(tmp_path: Path) -> None:
@@ -350,16 +350,16 @@
         tracemalloc.start()
         try:
             branch = at.send(body=body)
-            turn_until(at.at.loop, lambda: branch.carrier.begun)
-            assert not branch.carrier.whole
+            turn_until(at.at.loop, lambda: branch.context.begun)
+            assert not branch.context.whole
             go.set()
-            turn_until(at.at.loop, lambda: branch.ended is not None)
+            turn_until(at.at.loop, lambda: branch.outcome is not None)
             peak = tracemalloc.get_traced_memory()[1] - sum(map(len, held))
         finally:
             tracemalloc.stop()
             go.set()
             thread.join(LIMIT)
-        assert branch.ended is Outcome.OK
+        assert branch.outcome is Outcome.OK
         assert body in b"".join(held)
         assert peak < len(body) // 4
 
@@ -383,7 +383,7 @@
         return RecordWriter.of(self.log)
 
     def command(self, at: Rig, branch: Branch) -> bytes:
-        turn_until(at.at.loop, lambda: branch.carrier is None or branch.carrier.whole)
+        turn_until(at.at.loop, lambda: branch.context is None or branch.context.whole)
         return self.wire.read()
 
     def __enter__(self) -> Scripted:
@@ -407,8 +407,8 @@
             before = writer.update(requested) if serial % 2 else b""
             hop.wire.put(before + writer.record(DATA, VALUE[:4]) + writer.update(requested))
             hop.wire.put(writer.record(DATA, VALUE[4:]) + writer.update(requested))
-            turn_until(at.at.loop, lambda branch=branch: branch.ended is not None)  # type: ignore[misc]
-            assert branch.ended is Outcome.OK
+            turn_until(at.at.loop, lambda branch=branch: branch.outcome is not None)  # type: ignore[misc]
+            assert branch.outcome is Outcome.OK
             hop.wire.put(writer.update(requested))  # it lies unread when the next command is due
             branch = at.send()
         assert not at.ends()
@@ -424,15 +424,15 @@
         message = b"\4" + len(ticket).to_bytes(3) + ticket
         hop.wire.put(writer.record(DATA, VALUE[:9]) + writer.record(HANDSHAKE, message))
         turn_until(at.at.loop, lambda: at.streams.sessions.count("tt-07") == 1)
-        assert first.ended is None
+        assert first.outcome is None
         hop.wire.put(writer.record(DATA, VALUE[9:]))
-        turn_until(at.at.loop, lambda: first.ended is not None)
+        turn_until(at.at.loop, lambda: first.outcome is not None)
         hop.wire.put(writer.record(HANDSHAKE, message))
         second = at.send()
         hop.command(at, second)
         hop.wire.put(writer.record(DATA, VALUE))
-        turn_until(at.at.loop, lambda: second.ended is not None)
-        assert [first.ended, second.ended] == [Outcome.OK, Outcome.OK]
+        turn_until(at.at.loop, lambda: second.outcome is not None)
+        assert [first.outcome, second.outcome] == [Outcome.OK, Outcome.OK]
         assert at.ends() == []
 
 
@@ -442,7 +442,7 @@
         branch = at.send()
         hop.met(at)
         hop.command(at, branch)
-        stream: Any = branch.carrier.connection.stream
+        stream: Any = branch.context.connection.stream
         socket_before, room, sent = stream.sock, [0], []
 
         class Narrow:
