--- a/standflow/assembly.py
+++ b/standflow/assembly.py
@@ -113,8 +113,8 @@
             self.exchange,
             probe=self.next_hops.probe,
             close_idle=self.next_hops.close_idle,
-            tell=self._tell,
-            fetch=self._fetch,
+            send_to_peer=self._tell,
+            fetch_routes=self._fetch,
         )
         self.exchange.decisions = self.driver
         self.keeper = self._make_keeper()
@@ -155,7 +155,7 @@
                     config.peers,
                     config.peers_all,
                     config.settings.number,
-                    self.driver.peer_told,
+                    self.driver.peer_message_received,
                     self.tally,
                     shared=config.passed is not None,
                     open_to_all=config.fleet is not None and bool(config.fleet.seeds),
@@ -175,7 +175,7 @@
                 peers.tell(to, content) if isinstance(to, int) else peers.send(to, content)
 
         def changed(snapshot: Snapshot) -> None:
-            self.driver.fleet_seen(snapshot)
+            self.driver.membership_changed(snapshot)
             if self.keeper is not None:
                 self.keeper.limits.sharers = len(snapshot.among)
 
@@ -197,8 +197,8 @@
 
         driver, clients, ops = self.driver, self.clients, self.ops
         parts = Parts(
-            export=driver.export,
-            absorb=driver.absorb,
+            export=driver.export_state,
+            absorb=driver.import_state,
             spent=driver.spent,
             add=driver.add,
             resume=driver.resume,
@@ -234,8 +234,8 @@
             )
 
         parts = Parts(
-            used=driver.used,
-            refill=lambda windows: driver.refill(
+            used=driver.used_since,
+            refill=lambda windows: driver.restore_use(
                 [[w.key, w.plan, w.first, w.size, w.own, w.others] for w in windows]
             ),
             learnt=driver.learnt,
@@ -321,7 +321,7 @@
                 sighup_applied=self.reloading.applied,
                 sighup_rejected=self.reloading.rejected,
             ),
-            avoided=self.driver.avoided,
+            avoided=self.driver.ejected,
             evacuated=lambda: self.clients.evacuated,
             evacuate=self.clients.evacuate,
             show=self._laid_over,
@@ -364,7 +364,9 @@
 
         warming = Warming(settings.cold_from, settings.cold_time)
         chance = random.Random(self.config.seed + 1)
-        limits = Limits(options, warming, settings.gateways, settings.number, chance, self.driver.offset)
+        limits = Limits(
+            options, warming, settings.gateways, settings.number, chance, self.driver.clock_offset
+        )
         keeper = Keeper(self.loop, self.log, limits, self.next_hops, self._show, options.ready)
         if tls is not None:
             keeper.resumable, keeper.forget, tls.changed = tls.resumable, tls.forget, keeper.replace
@@ -385,9 +387,9 @@
             counter,
             self._use_told,
             Modes(self.driver.module.epoch, self.loop.now()),
-            self.driver.heard,
+            self.driver.peers_last_seen,
         )
-        self.driver.noted = witness.noted
+        self.driver.report_use = witness.noted
         return witness
 
     def _make_asking(self) -> Asking | None:
@@ -397,13 +399,13 @@
             return None
         from standflow.counter.asking import Asking
 
-        limit, tell = settings.count_limit, self.driver.counted
+        limit, tell = settings.count_limit, self.driver.count_answered
         asking = Asking(self.loop, self.log, counter, limit, tell, self.tally)
         self.driver.count = asking.count
         return asking
 
     def _use_told(self, told: Told) -> None:
-        self.driver.use_told(told.key, told.place, told.count, told.level)
+        self.driver.use_observed(told.key, told.place, told.count, told.level)
 
     def start(self) -> None:
         """Begins to serve: the saved list first, then discovery's word, then the callers."""
@@ -464,12 +466,12 @@
             self.keeper.routes_told(routes)
             return
         self.next_hops.routes_told(routes)
-        self.driver.routes_told(routes)
+        self.driver.routes_updated(routes)
         self._ready()
 
     def _show(self, routes: RouteSet) -> None:
         """What the keeper lets the driver know."""
-        self.driver.routes_told(routes)
+        self.driver.routes_updated(routes)
         if routes.routes:
             self._ready()
 
--- a/standflow/handshakes/keeper.py
+++ b/standflow/handshakes/keeper.py
@@ -74,7 +74,7 @@
         """When a next hop started, of the loop's clock; `wall`: Unix time at `now`. None: long ago."""
         if route.up_since is None:
             return None
-        return self.starts.started(route.hop, route.up_since, now + self.offset, wall) - self.offset
+        return self.starts.start_time(route.hop, route.up_since, now + self.offset, wall) - self.offset
 
     # Admission: what NextHops asks before it dials, and tells after.
 
--- a/standflow/reloading.py
+++ b/standflow/reloading.py
@@ -114,7 +114,7 @@
         settings = replace(before, classes=after.classes, max_attempts=after.max_attempts)
         leaving = self.exchange.reconfigure(config.classes, after.max_attempts)
         dropped = tuple(known[name] for name in leaving if name not in config.classes)
-        self.driver.retune(replace(settings, classes=(*after.classes, *dropped)))
+        self.driver.reconfigure(replace(settings, classes=(*after.classes, *dropped)))
         self.retuned += 1
         self.loop.call_later(UNTIL_KNOWN, self._settled, self.retuned, settings)
         self.log(f"reload: classes {' '.join(sorted(config.classes))}, attempts {after.max_attempts}")
@@ -123,4 +123,4 @@
     def _settled(self, serial: int, settings: Settings) -> None:
         if serial == self.retuned:
             self.exchange.finish_reconfigure()
-            self.driver.retune(settings)
+            self.driver.reconfigure(settings)
--- a/standflow/start_times.py
+++ b/standflow/start_times.py
@@ -17,7 +17,7 @@
     def __init__(self) -> None:
         self.known: dict[str, tuple[float, float]] = {}  # by backend: as told, and as reckoned
 
-    def started(self, backend: str, told: float, now: float, wall: float) -> float:
+    def start_time(self, backend: str, told: float, now: float, wall: float) -> float:
         """On the clock of `now`; `told`: Unix time, `wall`: the same moment as `now`, Unix time."""
         before = self.known.get(backend)
         if before is not None and before[0] == told:
--- a/tests/test_always_answered.py
+++ b/tests/test_always_answered.py
@@ -229,7 +229,7 @@
                 refused = ask(f"bb{number:02}")
                 turn_until(loop, lambda: select.select([refused], [], [], 0)[0])  # noqa: B023
                 assert refused.recv(100).startswith(b"-BUSY")
-        assert ingress.driver.avoided() == set()
+        assert ingress.driver.ejected() == set()
         ask("aa02")
         sent_on()
         ingress.close()
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -99,7 +99,7 @@
         client.close()
         turn_until(loop, lambda: not module.requests)
         for handle in list(module.timers):
-            ingress.driver._timer(handle)
+            ingress.driver._timer_fired(handle)
         turn_until(loop, lambda: not ingress.exchange.open_count)
         assert ingress.next_hops.forwards == 1
         assert len(ingress.next_hops.hops["s-1"].connections) == 1
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -44,8 +44,8 @@
             self.at.exchange,
             probe=lambda hop, ended: ended(Result(Outcome.OK)),
             close_idle=self.probes.append,
-            tell=lambda peer, content: self.told.append((peer, content)),
-            fetch=lambda: self.told.append("fetch"),
+            send_to_peer=lambda peer, content: self.told.append((peer, content)),
+            fetch_routes=lambda: self.told.append("fetch"),
         )
         self.at.exchange.decisions = self.driver
         self.events: list[i.Event] = []
@@ -81,10 +81,10 @@
     played = Played(gateways=3)
     del played.driver.module.handle
     began = played.at.loop.now()
-    played.driver.peer_told(1, b"garbled")
-    assert max(played.driver.heard()) < began
-    played.driver.peer_told(1, sealed(b""))
-    assert sum(at >= began for at in played.driver.heard()) == 1
+    played.driver.peer_message_received(1, b"garbled")
+    assert max(played.driver.peers_last_seen()) < began
+    played.driver.peer_message_received(1, sealed(b""))
+    assert sum(at >= began for at in played.driver.peers_last_seen()) == 1
     played.at.close()
 
 
@@ -318,10 +318,12 @@
     true = 1_000_000.0  # Unix time of the moment in which discovery tells of it
     now, wall = true + off_at_start, true + off_now
     starts = StartTimes()
-    started = starts.started("s-1", true - age, now, wall)
+    started = starts.start_time("s-1", true - age, now, wall)
     assert now - started == pytest.approx(expected)
-    assert starts.started("s-1", true - age, now + 7.0, wall + 7.0) == started  # told again: the same start
-    assert starts.started("s-1", true + 6.0, now + 7.0, wall + 7.0) != started
+    assert (
+        starts.start_time("s-1", true - age, now + 7.0, wall + 7.0) == started
+    )  # told again: the same start
+    assert starts.start_time("s-1", true + 6.0, now + 7.0, wall + 7.0) != started
     starts.keep_only(set())
     assert starts.known == {}
 
@@ -333,16 +335,16 @@
         patch.setattr(time, "time", lambda: wall() + HOUR)
         played = Played()
     route = Route("s-1", ("127.0.0.1", 1), "z1", "std", 0, Phase.SERVING, 1.0, told + 1.0)
-    played.driver.routes_told(RouteSet(1, True, (route,)))
+    played.driver.routes_updated(RouteSet(1, True, (route,)))
     gone = Route("s-1", ("127.0.0.1", 1), "z1", "std", 0, Phase.GONE, 1.0, None)
     listed = played.events[-1]
     assert isinstance(listed, i.BackendsListed)
     started = listed.entries[0].started
     assert started is not None
-    age = played.at.loop.now() + played.driver.offset - started
+    age = played.at.loop.now() + played.driver.clock_offset - started
     assert age == pytest.approx(9.0, abs=1.0)
-    played.driver.routes_told(RouteSet(2, False, (gone,)))
-    assert played.driver.starts.known == {}
+    played.driver.routes_updated(RouteSet(2, False, (gone,)))
+    assert played.driver.start_times.known == {}
     played.at.close()
 
 
@@ -359,15 +361,15 @@
     older = Played()
     module = older.driver.module
     spent = module.quota_of(b"12345", next(iter(module.plans.values())), 0, 1)
-    spent.at, spent.own = older.at.loop.now() + older.driver.offset, spent.plan.burst
+    spent.at, spent.own = older.at.loop.now() + older.driver.clock_offset, spent.plan.burst
     began = older.at.loop.now()
-    told = json.loads(json.dumps(older.driver.export()))
+    told = json.loads(json.dumps(older.driver.export_state()))
     wall = time.time
     monkeypatch.setattr(time, "time", lambda: wall() + step)
     newer = Played()
-    newer.driver.absorb(told)
+    newer.driver.import_state(told)
     module = newer.driver.module
-    module.now = newer.at.loop.now() + newer.driver.offset
+    module.now = newer.at.loop.now() + newer.driver.clock_offset
     taken_over = module.quotas[b"12345"]
     module._drain(taken_over)
     drained = spent.plan.rate * (newer.at.loop.now() - began)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -390,7 +390,7 @@
     known = ingress.config.known
     assert known is not None
     ingress.next_hops.routes_told(replace(known, routes=()))
-    ingress.driver.routes_told(replace(known, routes=()))
+    ingress.driver.routes_updated(replace(known, routes=()))
     assert not ingress.driver.module.backends
     turn_until(loop, lambda: not ingress.next_hops.hops)
     ingress.close()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -318,9 +318,9 @@
         assert sends(Gateway.handle(driver.module, driver.module.now, event))
 
     for driver in (old, new):
-        Gateway.handle(driver.module, driver.loop.now() + driver.offset, listed(backend("b1")))
+        Gateway.handle(driver.module, driver.loop.now() + driver.clock_offset, listed(backend("b1")))
     ask(old, "a")
-    new.absorb(json.loads(json.dumps(old.export())))
+    new.import_state(json.loads(json.dumps(old.export_state())))
     ask(old, "b")
     ask(new, "c")
     taken = {old: 0, new: 0}
