--- a/standflow/assembly.py
+++ b/standflow/assembly.py
@@ -1,7 +1,7 @@
 """One ingress put together: every part is made here, and each subsystem attached in one visible place.
 
 A subsystem that the configuration leaves out is not imported. What one asks of the ingress stands in a type
-of its own (`Parts` in upgrade/handover.py, ops/operations.py and reloading.py).
+of its own (the callbacks in upgrade/handover.py, ops/operations.py and reloading.py).
 """
 
 from __future__ import annotations
@@ -21,10 +21,9 @@
 from standflow.net.peers import Peers
 from standflow.net.routes import Routes, read_routes, write_route
 from standflow.net.watch_timing import LAST_BACK_OFF
-from standflow.reloading import Parts as ReloadParts
-from standflow.reloading import Reloading
+from standflow.reloading import ReloadCallbacks, Reloading
 from standflow.shutdown import Shutdown, close_all
-from standflow.tally import EVERY, Tally
+from standflow.tally import INTERVAL_SECONDS, Tally
 
 if TYPE_CHECKING:
     from standflow.counter.asking import Asking
@@ -38,12 +37,14 @@
     from standflow.tls.streams import TlsStreams
     from standflow.upgrade.handover import Handover
 
-READY_AT_LATEST = 0.25  # seconds that a restarted ingress waits for discovery, its saved list being stale
-COME_BACK = 0.1  # seconds after which a caller turned away by no decision may come again
+READY_TIMEOUT_SECONDS = (
+    0.25  # seconds that a restarted ingress waits for discovery, its saved list being stale
+)
+DEFAULT_RETRY_AFTER_SECONDS = 0.1  # seconds after which a caller turned away by no decision may come again
 
 
 @contextmanager
-def named(key: str) -> Iterator[None]:
+def blamed_on(key: str) -> Iterator[None]:
     """An address that can't be listened at is a fault of its key."""
     try:
         yield
@@ -58,7 +59,9 @@
         self.config, self.loop, self.log = config, loop, log
         settings = config.settings
         self.tally = Tally(loop, log)
-        come_back = min(COME_BACK, settings.max_retry_after) if settings.retry_after else None
+        default_retry_after = (
+            min(DEFAULT_RETRY_AFTER_SECONDS, settings.max_retry_after) if settings.retry_after else None
+        )
         self.exchange = Exchange(
             loop,
             log,
@@ -66,7 +69,7 @@
             config.plans,
             settings.max_attempts,
             config.max_open,
-            come_back,
+            default_retry_after,
             settings.gateways,
             settings.number,
             settings.max_units,
@@ -98,7 +101,7 @@
                 config.discovery,
                 config.zones,
                 config.known.revision if config.known else None,
-                self._routes_told,
+                self._routes_updated,
                 random.Random(config.seed),
                 self.tally,
                 # Where lists are pushed, what the agent has counts as told: no pause may outlast the grace.
@@ -113,19 +116,19 @@
             self.exchange,
             probe=self.next_hops.probe,
             close_idle=self.next_hops.close_idle,
-            send_to_peer=self._tell,
-            fetch_routes=self._fetch,
+            send_to_peer=self._send_to_peer,
+            fetch_routes=self._fetch_routes,
         )
         self.exchange.decisions = self.driver
-        self.keeper = self._make_keeper()
-        self.witness = self._make_witness()
-        self.asking = self._make_asking()
-        self.speaks = True  # on the ring: of two processes of one ingress one alone does
-        self.member: Member | None = None
-        self.found: Trusted | None = None  # in the store
+        self.handshake_limiter = self._make_handshake_limiter()
+        self.counter_reconciliation = self._make_counter_reconciliation()
+        self.counter_calls = self._make_counter_calls()
+        self.sends_to_peers = True  # on the ring: of two processes of one ingress one alone does
+        self.fleet_member: Member | None = None
+        self.restored: Trusted | None = None  # in the store
         if config.passed is None:
             self._listen_to_peers()
-        with named("listen" if config.passed is None else "EDGE_PASSED_SOCKET"):
+        with blamed_on("listen" if config.passed is None else "EDGE_PASSED_SOCKET"):
             self.clients = ClientSide(
                 loop,
                 log,
@@ -139,7 +142,7 @@
             )
         self.shutdown = Shutdown(loop, log, self.clients, self.exchange)
         self.reloading = self._make_reloading()
-        self.told = False  # by discovery, since the start
+        self.routes_received = False  # by discovery, since the start
         self.ops = self._make_ops()
         self.handover = self._make_handover()
         self.store = self._make_store()
@@ -147,7 +150,7 @@
     def _listen_to_peers(self) -> None:
         config = self.config
         if config.peer_listen is not None:
-            with named("peer_listen"):
+            with blamed_on("peer_listen"):
                 self.peers = Peers(
                     self.loop,
                     self.log,
@@ -160,9 +163,9 @@
                     shared=config.passed is not None,
                     open_to_all=config.fleet is not None and bool(config.fleet.seeds),
                 )
-            self.member = self._make_member(self.peers)
+            self.fleet_member = self._make_fleet_member(self.peers)
 
-    def _make_member(self, peers: Peers) -> Member | None:
+    def _make_fleet_member(self, peers: Peers) -> Member | None:
         """This ingress as a member of the fleet, where a membership is kept."""
         config = self.config
         if config.fleet is None:
@@ -171,43 +174,43 @@
         from standflow.fleet.snapshot import Snapshot
 
         def send(to: int | tuple[str, int], content: bytes) -> None:
-            if self.speaks:
+            if self.sends_to_peers:
                 peers.tell(to, content) if isinstance(to, int) else peers.send(to, content)
 
         def changed(snapshot: Snapshot) -> None:
             self.driver.membership_changed(snapshot)
-            if self.keeper is not None:
-                self.keeper.limits.sharers = len(snapshot.among)
+            if self.handshake_limiter is not None:
+                self.handshake_limiter.limits.sharers = len(snapshot.among)
 
         parts = Parts(send=send, filled=peers.fill, changed=changed)
         settings, chance = config.settings, random.Random(config.seed + 2)
         fleet, places = config.fleet, (settings.number, settings.gateways)
         member = Member(self.loop, self.log, fleet.name, *places, peers.address, fleet.seeds, chance, parts)
-        if self.found is not None:
-            member.remember(self.found.members)
+        if self.restored is not None:
+            member.remember(self.restored.members)
         peers.of_view, peers.heard = member.hear, member.ring
-        member.speaks = self.speaks
+        member.speaks = self.sends_to_peers
         return member
 
     def _make_handover(self) -> Handover | None:
         """The meeting with other processes of this ingress, where the platform holds the listening socket."""
         if self.config.passed is None or self.config.folder is None:
             return None
-        from standflow.upgrade.handover import Handover, Parts
+        from standflow.upgrade.handover import Handover, HandoverCallbacks
 
         driver, clients, ops = self.driver, self.clients, self.ops
-        parts = Parts(
-            export=driver.export_state,
-            absorb=driver.import_state,
+        parts = HandoverCallbacks(
+            export_state=driver.export_state,
+            import_state=driver.import_state,
             spent=driver.spent,
             add=driver.add,
             resume=driver.resume,
-            speak=self._speak,
-            crowd=self._crowd,
-            routes=lambda: [write_route(route) for route in self._as_told()],
-            take_routes=self._routes_of_another,
+            set_peer_sending=self._set_peer_sending,
+            share_limits=self._share_limits,
+            routes=lambda: [write_route(route) for route in self._discovered_routes()],
+            import_routes=self._import_routes,
             overlay=None if ops is None else ops.overlay,
-            heard=lambda hop: None if ops is None else ops.heard(hop),
+            override_changed=lambda hop: None if ops is None else ops.override_changed(hop),
             evacuated=lambda: (clients.evacuated, clients.evacuated_at),
             evacuate=clients.evacuate,
         )
@@ -230,7 +233,9 @@
             return (
                 None
                 if ops is None
-                else {hop: [one.out, one.at, one.went] for hop, one in ops.overlay.words.items()}
+                else {
+                    hop: [one.excluded, one.at, one.excluded_at] for hop, one in ops.overlay.overrides.items()
+                }
             )
 
         parts = Parts(
@@ -240,15 +245,15 @@
             ),
             learnt=driver.learnt,
             learn=driver.learn,
-            routes=lambda: [write_route(route) for route in self._as_told()],
+            routes=lambda: [write_route(route) for route in self._discovered_routes()],
             words=words,
             emptied=lambda: (clients.evacuated, clients.evacuated_at),
-            members=lambda: None if self.member is None else self.member.counted_members(),
+            members=lambda: None if self.fleet_member is None else self.fleet_member.counted_members(),
         )
         store = Store(config.store.folder, whose, config.store.most)
         return Keeper(self.loop, self.log, store, config.store.every, parts)
 
-    def _trusted(self) -> Trusted | None:
+    def _load_store(self) -> Trusted | None:
         """What the store says, and of it what operators said is in force."""
         if self.store is None:
             return None
@@ -257,36 +262,36 @@
         plans = {plan.name: Plan(plan.burst, plan.rate) for plan in self.config.settings.plans}
         found = self.store.begin(plans)
         if self.ops is not None:
-            from standflow.ops.overlay import Word
+            from standflow.ops.overlay import Override
 
             for hop, (out, at, went) in found.words.items():
-                self.ops.overlay.hear(hop, Word(out, at, went))
+                self.ops.overlay.merge(hop, Override(out, at, went))
         if found.emptied is not None:
             self.clients.evacuate(*found.emptied)
-        self.found = found
-        if self.member is not None:
-            self.member.remember(found.members)
+        self.restored = found
+        if self.fleet_member is not None:
+            self.fleet_member.remember(found.members)
         return found
 
-    def _as_told(self) -> list[Route]:
+    def _discovered_routes(self) -> list[Route]:
         """The route set by discovery alone: what operators laid over it is handed on beside it."""
         if self.ops is not None:
             return list(self.ops.overlay.routes.values())
         return [hop.route for hop in self.next_hops.hops.values()]
 
-    def _routes_of_another(self, members: list[Any]) -> None:
+    def _import_routes(self, members: list[Any]) -> None:
         """The route set of the process before, where discovery has told this one nothing yet."""
-        if not self.told and members:
+        if not self.routes_received and members:
             raw = {"revision": 0, "complete": True, "members": members}
             routes = read_routes(raw, self.config.zones, self.log)
-            self._laid_over(routes if self.ops is None else self.ops.overlay.told(routes))
+            self._apply_routes(routes if self.ops is None else self.ops.overlay.apply(routes))
 
-    def _speak(self, wanted: bool) -> None:
-        self.speaks = wanted
-        if self.member is not None:
-            self.member.speaks = wanted
+    def _set_peer_sending(self, wanted: bool) -> None:
+        self.sends_to_peers = wanted
+        if self.fleet_member is not None:
+            self.fleet_member.speaks = wanted
 
-    def _crowd(self, another: bool) -> None:
+    def _share_limits(self, another: bool) -> None:
         """Two processes of one ingress have its descriptors and its memory between them."""
         config, part = self.config, 2 if another else 1
         self.next_hops.max_connections = config.max_connections // part
@@ -295,8 +300,8 @@
         self.clients.values.budget = config.max_values // part
 
     def _make_reloading(self) -> Reloading:
-        routes, tls, calls = self.routes, self.tls, self.witness or self.asking
-        parts = ReloadParts(
+        routes, tls, calls = self.routes, self.tls, self.counter_reconciliation or self.counter_calls
+        parts = ReloadCallbacks(
             move_discovery=None if routes is None else routes.move,
             move_counter=None if calls is None else calls.client.move,
             reload_tls=None if tls is None else tls.reload,
@@ -309,9 +314,9 @@
         if config.ops is None:
             return None
         from standflow.ops.figures import Counts
-        from standflow.ops.operations import Operations, Parts
+        from standflow.ops.operations import Operations, OperationsCallbacks
 
-        parts = Parts(
+        parts = OperationsCallbacks(
             ready=lambda: self.clients.ready,
             stopping=lambda: self.shutdown.begun,
             counts=lambda: Counts(
@@ -321,18 +326,18 @@
                 sighup_applied=self.reloading.applied,
                 sighup_rejected=self.reloading.rejected,
             ),
-            avoided=self.driver.ejected,
+            ejected=self.driver.ejected,
             evacuated=lambda: self.clients.evacuated,
             evacuate=self.clients.evacuate,
-            show=self._laid_over,
-            fleet=lambda: None if self.member is None else self.member.figures(),
+            apply_routes=self._apply_routes,
+            fleet=lambda: None if self.fleet_member is None else self.fleet_member.figures(),
             recovery=lambda: None if self.store is None else self.store.figures(),
-            noted=self._noted,
+            state_changed=self._operator_state_changed,
         )
-        with named("ops"):
+        with blamed_on("ops"):
             return Operations(self.loop, self.log, config.ops, config.name, parts)
 
-    def _noted(self) -> None:
+    def _operator_state_changed(self) -> None:
         """An operator's word is for whoever comes after this process, too."""
         if self.handover is not None:
             self.handover.write()
@@ -353,7 +358,7 @@
         except MaterialError as error:
             raise ConfigError(f"tls: {error}") from None
 
-    def _make_keeper(self) -> Keeper | None:
+    def _make_handshake_limiter(self) -> Keeper | None:
         """The limits on handshakes, where they are in force."""
         options, settings, tls = self.config.handshakes, self.config.settings, self.tls
         if options is None:
@@ -367,12 +372,12 @@
         limits = Limits(
             options, warming, settings.gateways, settings.number, chance, self.driver.clock_offset
         )
-        keeper = Keeper(self.loop, self.log, limits, self.next_hops, self._show, options.ready)
+        keeper = Keeper(self.loop, self.log, limits, self.next_hops, self._show_routes, options.ready)
         if tls is not None:
             keeper.resumable, keeper.forget, tls.changed = tls.resumable, tls.forget, keeper.replace
         return keeper
 
-    def _make_witness(self) -> Witness | None:
+    def _make_counter_reconciliation(self) -> Witness | None:
         """The counter beside the ring, where it is switched on."""
         options, counter = self.config.witness, self.config.counter
         if options is None or counter is None:
@@ -385,14 +390,14 @@
             self.log,
             options,
             counter,
-            self._use_told,
+            self._use_observed,
             Modes(self.driver.module.epoch, self.loop.now()),
             self.driver.peers_last_seen,
         )
         self.driver.report_use = witness.noted
         return witness
 
-    def _make_asking(self) -> Asking | None:
+    def _make_counter_calls(self) -> Asking | None:
         """The counter in the ring's place, where settings allow calls of it and no word to peers."""
         settings, counter = self.config.settings, self.config.counter
         if counter is None or not self.driver.module.counting:
@@ -404,23 +409,23 @@
         self.driver.count = asking.count
         return asking
 
-    def _use_told(self, told: Told) -> None:
+    def _use_observed(self, told: Told) -> None:
         self.driver.use_observed(told.key, told.place, told.count, told.level)
 
     def start(self) -> None:
         """Begins to serve: the saved list first, then discovery's word, then the callers."""
-        known, found = self.config.known, self._trusted()
+        known, found = self.config.known, self._load_store()
         if found is not None and found.hops and self.routes is not None:
             # candidates until discovery speaks; of it the whole list is asked for, whatever its revision is
             raw = {"revision": 0, "complete": True, "members": found.hops}
             known = read_routes(raw, self.config.zones, self.log)
             self.routes.revision = None
         if self.ops is not None and known is not None:
-            known = self.ops.overlay.told(known)
-        if self.keeper is not None:
+            known = self.ops.overlay.apply(known)
+        if self.handshake_limiter is not None:
             self.driver.start(None)
             if known is not None:
-                self.keeper.routes_told(known)
+                self.handshake_limiter.routes_told(known)
         else:
             if known is not None:
                 self.next_hops.routes_told(known)
@@ -435,17 +440,17 @@
             self.store.start(found)
         if self.routes is not None:
             self.routes.connect()
-        at_once = self.routes is None and self.keeper is None
-        self.loop.call_later(0.0 if at_once else READY_AT_LATEST, self._ready)
-        self.loop.call_later(EVERY * random.Random(self.config.seed).random(), self.tally.serve)
+        at_once = self.routes is None and self.handshake_limiter is None
+        self.loop.call_later(0.0 if at_once else READY_TIMEOUT_SECONDS, self._ready)
+        self.loop.call_later(INTERVAL_SECONDS * random.Random(self.config.seed).random(), self.tally.serve)
 
     def _ready(self) -> None:
         if self.handover is not None:
-            self.handover.ask(self._begin)
+            self.handover.ask(self._begin_serving)
         else:
-            self._begin()
+            self._begin_serving()
 
-    def _begin(self) -> None:
+    def _begin_serving(self) -> None:
         """Callers are served from now on."""
         if not self.clients.ready:
             if self.config.passed is not None:
@@ -456,37 +461,37 @@
             self.clients.open()
             self.log(f"ready {self.config.name} on {self.clients.address[0]}:{self.clients.address[1]}")
 
-    def _routes_told(self, routes: RouteSet) -> None:
-        self.told = True
-        self._laid_over(routes if self.ops is None else self.ops.overlay.told(routes))
+    def _routes_updated(self, routes: RouteSet) -> None:
+        self.routes_received = True
+        self._apply_routes(routes if self.ops is None else self.ops.overlay.apply(routes))
 
-    def _laid_over(self, routes: RouteSet) -> None:
+    def _apply_routes(self, routes: RouteSet) -> None:
         """Takes in the route set as operators left it."""
-        if self.keeper is not None:
-            self.keeper.routes_told(routes)
+        if self.handshake_limiter is not None:
+            self.handshake_limiter.routes_told(routes)
             return
         self.next_hops.routes_told(routes)
         self.driver.routes_updated(routes)
         self._ready()
 
-    def _show(self, routes: RouteSet) -> None:
+    def _show_routes(self, routes: RouteSet) -> None:
         """What the keeper lets the driver know."""
         self.driver.routes_updated(routes)
         if routes.routes:
             self._ready()
 
-    def _fetch(self) -> None:
+    def _fetch_routes(self) -> None:
         if self.routes is not None:
             self.routes.fetch()
 
-    def _tell(self, peer: int | None, content: bytes) -> None:
-        if self.peers is not None and self.speaks:
+    def _send_to_peer(self, peer: int | None, content: bytes) -> None:
+        if self.peers is not None and self.sends_to_peers:
             self.peers.tell(peer, content)
 
     def stop(self) -> None:
         """SIGTERM."""
-        if self.shutdown.begin(self.reloading.config.longest_deadline) and self.member is not None:
-            self.member.leave()
+        if self.shutdown.begin(self.reloading.config.longest_deadline) and self.fleet_member is not None:
+            self.fleet_member.leave()
 
     def reload(self) -> None:
         """SIGHUP. Also in a shutdown: its end goes by the shorter deadline of the two files."""
@@ -497,7 +502,7 @@
         """Ends every connection; each leaves its line in the log."""
         parts = (
             *(self.clients, self.next_hops, self.ops, self.handover, self.store),
-            *(self.witness, self.asking, self.member, self.routes),
+            *(self.counter_reconciliation, self.counter_calls, self.fleet_member, self.routes),
         )
         closes = [part.close for part in parts if part is not None]
         last_counts = [] if self.tls is None else [self.tls.tell_counts]
--- a/standflow/cli.py
+++ b/standflow/cli.py
@@ -17,10 +17,10 @@
 from standflow.config.text import FileFaultError
 
 FILE = click.Path(dir_okay=False)
-DEFAULT = "deploy/standflow.conf"
+DEFAULT_FILE = "deploy/standflow.conf"
 
 
-class FaultyError(click.ClickException):
+class InvalidConfigError(click.ClickException):
     """A configuration that can't be used: every fault on a line, status 2."""
 
     exit_code = 2
@@ -37,9 +37,9 @@
         if config.tls is not None:
             _check_material(config.tls)
     except FileFaultError as error:
-        raise FaultyError("\n".join(f"standflow: {fault}" for fault in error.faults)) from None
+        raise InvalidConfigError("\n".join(f"standflow: {fault}" for fault in error.faults)) from None
     except ConfigError as error:
-        raise FaultyError(f"standflow: {error}") from None
+        raise InvalidConfigError(f"standflow: {error}") from None
     return block
 
 
@@ -70,7 +70,7 @@
 
 
 @main.command()
-@click.argument("file", type=FILE, default=DEFAULT)
+@click.argument("file", type=FILE, default=DEFAULT_FILE)
 def run(file: str) -> None:
     """Run one ingress in the foreground.
 
@@ -84,7 +84,7 @@
 
 
 @main.command()
-@click.argument("file", type=FILE, default=DEFAULT)
+@click.argument("file", type=FILE, default=DEFAULT_FILE)
 def check(file: str) -> None:
     """Check FILE and the files that it names, and start nothing.
 
@@ -95,7 +95,7 @@
 
 
 @main.command()
-@click.argument("file", type=FILE, default=DEFAULT)
+@click.argument("file", type=FILE, default=DEFAULT_FILE)
 @click.option("--json", "as_json", is_flag=True, help="One JSON object a line instead of columns.")
 def show(file: str, as_json: bool) -> None:
     """Show the configuration in force: each directive, its values, and where they come from.
--- a/standflow/log.py
+++ b/standflow/log.py
@@ -9,9 +9,9 @@
 
 from standflow.net.loop import Loop
 
-CHUNK = 4096  # a pipe that polls writable takes so much without blocking
+CHUNK_BYTES = 4096  # a pipe that polls writable takes so much without blocking
 MAX_LINES = 5000
-FLUSH_EVERY = 0.1
+FLUSH_SECONDS = 0.1
 
 
 class Log:
@@ -20,7 +20,7 @@
     def __init__(self, fd: int = 2) -> None:
         self.fd = fd
         self.lines: deque[bytes] = deque()
-        self.rest = b""
+        self.partial = b""
         self.dropped = 0
         self.poll = select.poll()
         self.poll.register(fd, select.POLLOUT)
@@ -36,21 +36,21 @@
     def serve(self, loop: Loop) -> None:
         """Writes what there is, now and again and again."""
         self.flush()
-        loop.every(FLUSH_EVERY, self.flush)
+        loop.every(FLUSH_SECONDS, self.flush)
 
     def flush(self) -> None:
         """Writes as much as can be written without waiting."""
         if self.dropped and len(self.lines) < MAX_LINES:
             dropped, self.dropped = self.dropped, 0
             self(f"log: {dropped} lines dropped")
-        while self.rest or self.lines:
-            while len(self.rest) < CHUNK and self.lines:
-                self.rest += self.lines.popleft()
+        while self.partial or self.lines:
+            while len(self.partial) < CHUNK_BYTES and self.lines:
+                self.partial += self.lines.popleft()
             try:
                 if not any(mask & (select.POLLOUT | select.POLLERR) for _, mask in self.poll.poll(0)):
                     return
-                self.rest = self.rest[os.write(self.fd, self.rest[:CHUNK]) :]
+                self.partial = self.partial[os.write(self.fd, self.partial[:CHUNK_BYTES]) :]
             except OSError:  # nobody reads it any more
-                self.rest = b""
+                self.partial = b""
                 self.lines.clear()
                 return
--- a/standflow/net/nexthop.py
+++ b/standflow/net/nexthop.py
@@ -15,7 +15,7 @@
 from standflow.net.flow import Flows
 from standflow.net.loop import Loop, broken
 from standflow.net.stream import PlainStream, Stream
-from standflow.platform_terms import HOLD_UP_SECONDS
+from standflow.platform_terms import MAX_PAUSE_SECONDS
 
 FLOW_BUDGET = 16 * 1024 * 1024  # bytes of long values on their way, where nothing else is said
 # Seconds for which a connection rests after an answer: a second one to the same command may follow some
@@ -91,7 +91,7 @@
         if hop.shut_at is None:
             # From when the change can have come at the earliest; and the first byte may leave so much later
             # than the clock was read.
-            hop.shut_at = self.loop.heard + max(0.0, self.drain_grace - HOLD_UP_SECONDS)
+            hop.shut_at = self.loop.heard + max(0.0, self.drain_grace - MAX_PAUSE_SECONDS)
             self.loop.call_at(hop.shut_at, self._grace_over, hop)
 
     def _grace_over(self, hop: Hop) -> None:
--- a/standflow/ops/calls.py
+++ b/standflow/ops/calls.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 from urllib.parse import unquote_to_bytes
 
-LONGEST_ID = 256  # bytes
+MAX_ID_BYTES = 256  # bytes
 
 
 @dataclass(slots=True, frozen=True)
@@ -46,13 +46,13 @@
 
     def __init__(self, operators: Operators) -> None:
         self.operators = operators
-        self.plain: dict[str, tuple[str, Callable[[], Answer]]] = {
-            "/api/ready": ("GET", lambda: _said(operators.ready(), 503)),
+        self.fixed: dict[str, tuple[str, Callable[[], Answer]]] = {
+            "/api/ready": ("GET", lambda: _result(operators.ready(), 503)),
             "/api/telemetry": ("GET", lambda: Answer(200, operators.telemetry())),
-            "/api/evacuate": ("POST", lambda: _said(operators.evacuate(), 409)),
-            "/api/rejoin": ("POST", lambda: _said(operators.rejoin(), 409)),
+            "/api/evacuate": ("POST", lambda: _result(operators.evacuate(), 409)),
+            "/api/rejoin": ("POST", lambda: _result(operators.rejoin(), 409)),
         }
-        self.named: dict[str, Callable[[str], str]] = {
+        self.by_hop: dict[str, Callable[[str], str]] = {
             "/api/exclude/": operators.exclude,
             "/api/include/": operators.include,
         }
@@ -60,19 +60,19 @@
     def answer(self, method: str, target: str) -> Answer:
         """Carries a call out; what is asked of no known path, or by another method, changes nothing."""
         path = target.partition("?")[0]
-        if path in self.plain:
-            wanted, call = self.plain[path]
+        if path in self.fixed:
+            wanted, call = self.fixed[path]
             return call() if method == wanted else _not_allowed(wanted)
-        for prefix, named in self.named.items():
+        for prefix, named in self.by_hop.items():
             if path.startswith(prefix):
                 if method != "POST":
                     return _not_allowed("POST")
                 hop = _hop(path[len(prefix) :])
-                return Answer(404, "no such id\n") if hop is None else _said(named(hop), 404)
+                return Answer(404, "no such id\n") if hop is None else _result(named(hop), 404)
         return Answer(404, "no such call\n")
 
 
-def _said(fault: str, status: int) -> Answer:
+def _result(fault: str, status: int) -> Answer:
     return Answer(status, fault + "\n") if fault else Answer(200, "yes\n")
 
 
@@ -83,7 +83,7 @@
 def _hop(text: str) -> str | None:
     """An id as the path has it, percent-encoded where it must be; None for what can be none."""
     raw = unquote_to_bytes(text)
-    if not 0 < len(raw) <= LONGEST_ID:
+    if not 0 < len(raw) <= MAX_ID_BYTES:
         return None
     try:
         hop = raw.decode("utf-8")
--- a/standflow/ops/server.py
+++ b/standflow/ops/server.py
@@ -19,15 +19,15 @@
 from standflow.net.momentary import at_start
 from standflow.ops.calls import Answer
 
-MOST_CALLS = 32  # connections at once
-DESCRIPTORS = MOST_CALLS + 2  # with the listener, and one that is accepted before another ends
+MAX_CALLS = 32  # connections at once
+DESCRIPTORS = MAX_CALLS + 2  # with the listener, and one that is accepted before another ends
 BACKLOG = 64  # connections that may wait to be accepted
-MOST_ACCEPTED = 16  # in a round
+MAX_ACCEPTS = 16  # in a round
 ACCEPT_PAUSE = 0.1  # seconds without accepting when no descriptor is left
-PATIENCE = 5.0  # seconds in which a call has come whole
+CALL_TIMEOUT = 5.0  # seconds in which a call has come whole
 LINGER = 0.5  # seconds for the answer to arrive before the connection is closed over what was not read
-MOST_HEAD = 8192  # bytes
-MOST_BODY = 65536  # bytes; no call needs any
+MAX_HEAD_BYTES = 8192  # bytes
+MAX_BODY_BYTES = 65536  # bytes; no call needs any
 READ_SIZE = 16384
 
 
@@ -66,16 +66,16 @@
     def _accept_on(self) -> Coroutine[None]:
         while True:
             yield IN if self.accepting else 0
-            for _ in range(MOST_ACCEPTED if self.accepting else 0):
+            for _ in range(MAX_ACCEPTS if self.accepting else 0):
                 if not self._accept():
                     break
 
-    def _go_on(self) -> None:
+    def _resume_accepting(self) -> None:
         self.accepting = True
         self.loop.watch(self.listener, IN)
 
     def _accept(self) -> bool:
-        while len(self.calls) >= MOST_CALLS:
+        while len(self.calls) >= MAX_CALLS:
             self.loop.end(next(iter(self.calls)))
         try:
             sock, _ = self.sock.accept()
@@ -87,7 +87,7 @@
             self.log(f"ops: accept: {error}")
             if not self.calls:  # the listener stays ready: without a pause the loop would spin on it
                 self.accepting = False
-                self.loop.call_later(ACCEPT_PAUSE, self._go_on)
+                self.loop.call_later(ACCEPT_PAUSE, self._resume_accepting)
                 return False
             self.loop.end(next(iter(self.calls)))
             return True
@@ -95,13 +95,13 @@
         self.loop.first.add(sock.fileno())
         call = Call(self, sock)
         try:
-            task = call.task = self.loop.spawn(sock.fileno(), call.live())
+            task = call.task = self.loop.spawn(sock.fileno(), call.run())
         except OSError as error:
             self.log(f"ops: {error}")
             self.loop.first.discard(sock.fileno())
             sock.close()
             return True
-        if not call.over:
+        if not call.closed:
             self.calls[task] = None
         return True
 
@@ -112,11 +112,11 @@
     def __init__(self, server: Server, sock: socket.socket) -> None:
         self.server, self.sock = server, sock
         self.task: Task | None = None
-        self.over = False
-        self.made = server.loop.now()
-        self.what = "-"
+        self.closed = False
+        self.accepted_at = server.loop.now()
+        self.description = "-"
 
-    def live(self) -> Coroutine[None]:
+    def run(self) -> Coroutine[None]:
         """Its whole life; it leaves one line in the log."""
         number, reason = self.sock.fileno(), "cap"
         try:
@@ -124,40 +124,42 @@
         except OSError as error:
             reason = broken(error)
         finally:
-            self.over = True
+            self.closed = True
             if self.task is not None:
                 self.server.calls.pop(self.task, None)
             self.server.loop.first.discard(number)
             self.sock.close()
-            age = self.server.loop.now() - self.made
-            self.server.log(f"end ops {reason} {self.what} age={age:.2f}")
+            age = self.server.loop.now() - self.accepted_at
+            self.server.log(f"end ops {reason} {self.description} age={age:.2f}")
 
     def _serve(self) -> Coroutine[str]:
-        http = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
-        end, size = self.made + PATIENCE, 0
+        http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
+        end, size = self.accepted_at + CALL_TIMEOUT, 0
         request: h11.Request | None = None
         while True:
             try:
                 event = http.next_event()
             except h11.RemoteProtocolError as error:
-                return (yield from self._say(http, Answer(error.error_status_hint, f"{error}\n"), "bad_http"))
+                return (
+                    yield from self._reply(http, Answer(error.error_status_hint, f"{error}\n"), "bad_http")
+                )
             if event is h11.NEED_DATA:
                 if http.they_are_waiting_for_100_continue:
                     self.sock.send(http.send(h11.InformationalResponse(status_code=100, headers=[])) or b"")
                 data = yield from self._read(end)
                 if data is None:
-                    return (yield from self._say(http, Answer(408, "no whole call in time\n"), "silent"))
+                    return (yield from self._reply(http, Answer(408, "no whole call in time\n"), "silent"))
                 http.receive_data(data)
             elif isinstance(event, h11.Request):
                 request = event
             elif isinstance(event, h11.Data):
                 size += len(event.data)
-                if size > MOST_BODY:
-                    return (yield from self._say(http, Answer(413, "too large\n"), "too_large"))
+                if size > MAX_BODY_BYTES:
+                    return (yield from self._reply(http, Answer(413, "too large\n"), "too_large"))
             elif isinstance(event, h11.EndOfMessage) and request is not None:
                 method, target = request.method.decode("ascii"), request.target.decode("latin-1")
-                self.what = f"{method} {target[:80]!r}"
-                return (yield from self._say(http, self.server.answer(method, target), "answered"))
+                self.description = f"{method} {target[:80]!r}"
+                return (yield from self._reply(http, self.server.answer(method, target), "answered"))
             else:
                 return "peer_closed"
 
@@ -171,7 +173,7 @@
             if left <= 0 or (yield from loop.wait(IN, left)) == TICK:
                 return None
 
-    def _say(self, http: h11.Connection, answer: Answer, reason: str) -> Coroutine[str]:
+    def _reply(self, http: h11.Connection, answer: Answer, reason: str) -> Coroutine[str]:
         body, loop = answer.text.encode(), self.server.loop
         headers = [
             ("Content-Type", "text/plain; charset=utf-8"),
@@ -185,14 +187,14 @@
             return reason
         parts = (http.send(response), http.send(h11.Data(data=body)), http.send(h11.EndOfMessage()))
         out = memoryview(b"".join(part or b"" for part in parts))
-        end = loop.now() + PATIENCE
+        end = loop.now() + CALL_TIMEOUT
         while out:
             try:
                 out = out[self.sock.send(out) :]
             except BlockingIOError:
                 if (yield from loop.wait(OUT, max(0.0, end - loop.now()))) == TICK:
                     return "slow_reader"
-        self.what += f" {answer.status}"
+        self.description += f" {answer.status}"
         # Closing over unread bytes would take the answer back.
         with contextlib.suppress(OSError):  # it may be gone already
             self.sock.shutdown(socket.SHUT_WR)
--- a/standflow/platform_terms.py
+++ b/standflow/platform_terms.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
-LONGEST_COUNTED_SECONDS = 3.0  # that a longest deadline counts as at most (protocol page, planned restarts)
+MAX_COUNTED_DEADLINE_SECONDS = (
+    3.0  # that a longest deadline counts as at most (protocol page, planned restarts)
+)
 KILL_AFTER_SECONDS = 0.7  # between that deadline and the earliest SIGKILL (same place)
-HOLD_UP_SECONDS = 0.15  # for which a process may be held up between its clock and a write (STANDING.md)
+MAX_PAUSE_SECONDS = 0.15  # for which a process may be held up between its clock and a write (STANDING.md)
--- a/standflow/reloading.py
+++ b/standflow/reloading.py
@@ -28,11 +28,11 @@
     "witness",
     "fleet",
 )
-UNTIL_KNOWN = 1.0  # seconds in which callers learn of other classes; until then both are taken
+CLASS_OVERLAP_SECONDS = 1.0  # seconds in which callers learn of other classes; until then both are taken
 
 
 @dataclass(slots=True)
-class Parts:
+class ReloadCallbacks:
     """What a reload asks of the ingress; None where a part is switched off."""
 
     move_discovery: Callable[[Address], None] | None
@@ -50,12 +50,12 @@
         config: Config,
         exchange: Exchange,
         driver: Driver,
-        parts: Parts,
+        parts: ReloadCallbacks,
     ) -> None:
-        self.loop, self.log, self.config, self.parts = loop, log, config, parts
+        self.loop, self.log, self.config, self.callbacks = loop, log, config, parts
         self.exchange, self.driver = exchange, driver
         self.applied = self.rejected = 0  # files at SIGHUP
-        self.retuned = 0
+        self.class_changes = 0
 
     def reload(self) -> None:
         """SIGHUP: reads the configuration anew; what can't be used is named, and all stays as it was."""
@@ -69,7 +69,7 @@
             return
         self.applied += 1
         before = self.config
-        moved = self._retune(config)
+        moved = self._reconfigure(config)
         settings = replace(
             before.settings, classes=config.settings.classes, max_attempts=config.settings.max_attempts
         )
@@ -82,7 +82,7 @@
             # Whoever sends SIGKILL may go by either file: a shutdown has to be over by the earlier moment.
             longest_deadline=min(before.longest_deadline, config.longest_deadline),
         )
-        parts = self.parts
+        parts = self.callbacks
         if parts.move_discovery is not None and config.discovery is not None:
             if config.discovery != before.discovery:
                 moved = True
@@ -105,7 +105,7 @@
                 self.log(f"reload: {key}: takes a restart to change; it stays as it was")
         self.log("reload: done" if moved else "reload: nothing to do: all is as it was")
 
-    def _retune(self, config: Config) -> bool:
+    def _reconfigure(self, config: Config) -> bool:
         """Takes up classes and the number of attempts; true where they are others."""
         before, after = self.config.settings, config.settings
         if (before.classes, before.max_attempts) == (after.classes, after.max_attempts):
@@ -115,12 +115,12 @@
         leaving = self.exchange.reconfigure(config.classes, after.max_attempts)
         dropped = tuple(known[name] for name in leaving if name not in config.classes)
         self.driver.reconfigure(replace(settings, classes=(*after.classes, *dropped)))
-        self.retuned += 1
-        self.loop.call_later(UNTIL_KNOWN, self._settled, self.retuned, settings)
+        self.class_changes += 1
+        self.loop.call_later(CLASS_OVERLAP_SECONDS, self._finish_reconfigure, self.class_changes, settings)
         self.log(f"reload: classes {' '.join(sorted(config.classes))}, attempts {after.max_attempts}")
         return True
 
-    def _settled(self, serial: int, settings: Settings) -> None:
-        if serial == self.retuned:
+    def _finish_reconfigure(self, serial: int, settings: Settings) -> None:
+        if serial == self.class_changes:
             self.exchange.finish_reconfigure()
             self.driver.reconfigure(settings)
--- a/standflow/shutdown.py
+++ b/standflow/shutdown.py
@@ -10,8 +10,8 @@
 from standflow.net.loop import Loop, Timer
 from standflow.shutdown_schedule import ShutdownSchedule, schedule_for
 
-LOOK_EVERY_SECONDS = 0.01  # whether all is done
-MOST_DESCRIBED = 50  # requests that are described in the log, of those answered at the end
+POLL_SECONDS = 0.01  # whether all is done
+MAX_DESCRIBED = 50  # requests that are described in the log, of those answered at the end
 
 
 class Shutdown:
@@ -22,7 +22,7 @@
     ) -> None:
         self.loop, self.log, self.clients, self.exchange = loop, log, clients, exchange
         self.begun_at: float | None = None  # of the loop's clock
-        self.plan: ShutdownSchedule | None = None
+        self.schedule: ShutdownSchedule | None = None
         self.timers: list[Timer] = []
 
     @property
@@ -47,7 +47,7 @@
         The moments that are still to come are reckoned anew from SIGTERM; what has passed comes at once.
         """
         plan = schedule_for(longest_deadline)
-        if self.begun_at is None or self.plan is None or plan.exit >= self.plan.exit:
+        if self.begun_at is None or self.schedule is None or plan.exit >= self.schedule.exit:
             return
         self.log(f"shutdown: by a shorter deadline, answer_all={plan.answer_all:.2f} exit={plan.exit:.2f}")
         for timer in self.timers:
@@ -56,7 +56,7 @@
 
     def _follow(self, plan: ShutdownSchedule, begun_at: float) -> None:
         """Has everything done at its moment."""
-        self.plan = plan
+        self.schedule = plan
         self.exchange.set_final_deadline(begun_at + plan.answer_all)
         # A listener that was passed in goes on with the next process: this one leaves it at once.
         stop_accepting = 0.0 if self.clients.shared else plan.stop_accepting
@@ -69,24 +69,24 @@
 
     def _stop_accepting(self, serve_for: float) -> None:
         self.clients.stop(serve_for)
-        self._note("accepts no more")
+        self._log_state("accepts no more")
 
     def answer_all(self) -> None:
         """Answers whatever is open or has come: nobody will later."""
-        self._note("answers all")
+        self._log_state("answers all")
         self.clients.dismiss()  # first: what is answered makes room for what was read behind it
         left = self.exchange.abandon_all()
         self.clients.dismiss()  # and for what lies unread: this may be the last round before the end
-        for transaction in left[:MOST_DESCRIBED]:
+        for transaction in left[:MAX_DESCRIBED]:
             self.log(f"shutdown: answered at the end: {transaction.describe()}")
-        if len(left) > MOST_DESCRIBED:
-            self.log(f"shutdown: answered at the end: {len(left) - MOST_DESCRIBED} more")
+        if len(left) > MAX_DESCRIBED:
+            self.log(f"shutdown: answered at the end: {len(left) - MAX_DESCRIBED} more")
 
     def _exit(self) -> None:
-        self._note("ends")
+        self._log_state("ends")
         self.loop.stop()
 
-    def _note(self, state: str) -> None:
+    def _log_state(self, state: str) -> None:
         """Each state is a line of the log, with what is owed in it."""
         self.log(
             f"shutdown: {state}, connections={len(self.clients.connections)} open={self.exchange.open_count}"
@@ -96,7 +96,7 @@
         if self.clients.listener is None and not self.clients.connections:
             self.loop.stop()
         else:
-            self.loop.call_later(LOOK_EVERY_SECONDS, self._stop_when_done)
+            self.loop.call_later(POLL_SECONDS, self._stop_when_done)
 
 
 def close_all(closes: Iterable[Callable[[], None]], log: Callable[[str], None]) -> None:
--- a/standflow/shutdown_schedule.py
+++ b/standflow/shutdown_schedule.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from standflow.platform_terms import HOLD_UP_SECONDS, KILL_AFTER_SECONDS, LONGEST_COUNTED_SECONDS
+from standflow.platform_terms import KILL_AFTER_SECONDS, MAX_COUNTED_DEADLINE_SECONDS, MAX_PAUSE_SECONDS
 
 FLUSH_SECONDS = 0.05  # in which the last answers leave and connections are ended in order
 ACCEPT_SECONDS = 0.5  # of accepting after SIGTERM: new connections keep coming for 0.2 to 0.4 s
@@ -29,8 +29,8 @@
 
 def schedule_for(longest_deadline: float) -> ShutdownSchedule:
     """The schedule of a deployment whose longest deadline is so many seconds."""
-    kill = min(longest_deadline, LONGEST_COUNTED_SECONDS) + KILL_AFTER_SECONDS
-    latest_exit = kill - HOLD_UP_SECONDS
+    kill = min(longest_deadline, MAX_COUNTED_DEADLINE_SECONDS) + KILL_AFTER_SECONDS
+    latest_exit = kill - MAX_PAUSE_SECONDS
     answer_all = latest_exit - FLUSH_SECONDS
     stop_accepting = min(ACCEPT_SECONDS, answer_all)
     stop_serving = stop_accepting + (answer_all - stop_accepting) * SERVING_SHARE
--- a/standflow/signals.py
+++ b/standflow/signals.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from standflow.net.loop import Coroutine, Loop
 
-TAKEN = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+HANDLED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 READ_SIZE = 64
 
 
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self.reader, writer = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
         signal.set_wakeup_fd(writer, warn_on_full_buffer=False)
-        for number in TAKEN:  # also where the process was started with one of them ignored
+        for number in HANDLED:  # also where the process was started with one of them ignored
             signal.signal(number, lambda *_: None)
         signal.signal(signal.SIGPIPE, signal.SIG_IGN)
 
--- a/standflow/tally.py
+++ b/standflow/tally.py
@@ -6,8 +6,8 @@
 
 from standflow.net.loop import Loop
 
-EVERY = 5.0  # seconds between lines
-MOST_HOPS = 100  # next hops on a line, the busiest; a line of the log holds 8,000 bytes
+INTERVAL_SECONDS = 5.0  # seconds between lines
+MAX_HOPS = 100  # next hops on a line, the busiest; a line of the log holds 8,000 bytes
 
 
 class Tally:
@@ -30,7 +30,7 @@
 
     def serve(self) -> None:
         """Writes what was counted, now and again and again."""
-        self.loop.every(EVERY, self.flush)
+        self.loop.every(INTERVAL_SECONDS, self.flush)
         self.flush()
 
     def flush(self) -> None:
@@ -44,7 +44,7 @@
             self.log("tally " + " ".join(f"{name}={number}" for name, number in sorted(counts.items())))
         for hop, number in self.open().items():
             hops.setdefault(hop, {})["open"] = number
-        busiest = sorted(hops, key=lambda hop: (-sum(hops[hop].values()), hop))[:MOST_HOPS]
+        busiest = sorted(hops, key=lambda hop: (-sum(hops[hop].values()), hop))[:MAX_HOPS]
         if busiest:
             words = (
                 ",".join(f"{name}:{number}" for name, number in sorted(hops[hop].items())) for hop in busiest
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -22,7 +22,7 @@
 from standflow.net.routes import RouteError, Routes, read_routes, zone_of
 from standflow.net.watch_timing import LONGEST_HEAD_LIMIT
 from standflow.start_times import StartTimes
-from standflow.tally import MOST_HOPS, Tally
+from standflow.tally import MAX_HOPS, Tally
 from tests.test_connections import Recorder
 from tests.wire import config, listener, read_until, turn_until
 from tests.world import sealed
@@ -172,7 +172,7 @@
     assert at.log == ["tally branch.ok=1 taken=1", "hops s-1=ok:1,open:2", "hops s-1=open:2"]
     tally.open = lambda: {f"s-{n}": n for n in range(1, 5000)}
     tally.flush()
-    assert len(at.log[-1].split()) == 1 + MOST_HOPS
+    assert len(at.log[-1].split()) == 1 + MAX_HOPS
     assert at.log[-1].startswith("hops s-4999=open:4999 ")
     at.close()
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -25,7 +25,7 @@
 from standflow.net.routes import Objects, Routes
 from standflow.net.stream import PlainStream, Stream
 from standflow.net.watch_timing import HEAD_LIMIT, LAST_BACK_OFF
-from standflow.platform_terms import HOLD_UP_SECONDS
+from standflow.platform_terms import MAX_PAUSE_SECONDS
 from tests.test_connections import Recorder
 from tests.wire import (
     LIMIT,
@@ -336,7 +336,7 @@
         caller = wired.ask("aa01")
         told = loop.now()
         wired.tell(Phase.DRAINING)
-        turn_until(loop, lambda: loop.now() > told + grace - HOLD_UP_SECONDS)
+        turn_until(loop, lambda: loop.now() > told + grace - MAX_PAUSE_SECONDS)
         wired.send()
         turn_until(loop, lambda: wired.at.ended)
         assert [outcome for _, outcome in wired.at.ended] == [Outcome.CONNECT_FAILED]
@@ -352,7 +352,7 @@
         wired = Wired(hop.getsockname(), grace=grace)
         wired.at.loop.heard = wired.at.loop.now() - late
         wired.tell(Phase.DRAINING)
-        assert wired.hops.hops["s-1"].shut_at == wired.at.loop.heard + grace - HOLD_UP_SECONDS
+        assert wired.hops.hops["s-1"].shut_at == wired.at.loop.heard + grace - MAX_PAUSE_SECONDS
         wired.at.close()
 
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -23,7 +23,7 @@
 from standflow.net.nexthop import REST
 from standflow.ops import figures, server
 from standflow.ops.calls import Answer, Calls
-from standflow.ops.overlay import MOST_OUT, Overlay
+from standflow.ops.overlay import MAX_EXCLUDED, Overlay
 from tests.wire import LIMIT, Program, command, config, listener, member, program, read_until, turn_until
 
 VALUE = b"*3\r\n$5\r\nva\r\nl\r\n$-1\r\n$-1\r\n"
@@ -141,42 +141,42 @@
 
     for now, (step, what, how) in enumerate(steps, 1):
         if step == "say":
-            assert bool(overlay.say(what, how, float(now))) == (what not in ever)
+            assert bool(overlay.set_excluded(what, how, float(now))) == (what not in ever)
             if what in ever:
                 (out.add if how else out.discard)(what)
             if (change := overlay.change(what)) is not None:
                 take(change)
         elif step == "told":
-            take(overlay.told(RouteSet(now, False, (route(what, how),))))
+            take(overlay.apply(RouteSet(now, False, (route(what, how),))))
             truth.pop(what, None)
             if how is not Phase.GONE:
                 truth[what] = how
                 ever.add(what)
         else:
-            take(overlay.told(RouteSet(now, True, tuple(route(hop) for hop in sorted(what)))))
+            take(overlay.apply(RouteSet(now, True, tuple(route(hop) for hop in sorted(what)))))
             truth = dict.fromkeys(what, Phase.SERVING)
             ever |= what
         assert seen == {hop: Phase.DRAINING if hop in out else phase for hop, phase in truth.items()}
-        assert overlay.listed_out() == out & truth.keys()
+        assert overlay.listed_excluded() == out & truth.keys()
 
 
 def test_back_by_hand_is_cold_from_then_until_discovery_tells_of_the_restart() -> None:
     overlay = Overlay()
-    overlay.told(RouteSet(1, True, (route("a", up=5.0),)))
-    assert overlay.say("a", True, 100.0) == ""
-    assert overlay.say("a", True, 101.0) == ""  # twice is once
-    overlay.say("a", False, 110.0)
+    overlay.apply(RouteSet(1, True, (route("a", up=5.0),)))
+    assert overlay.set_excluded("a", True, 100.0) == ""
+    assert overlay.set_excluded("a", True, 101.0) == ""  # twice is once
+    overlay.set_excluded("a", False, 110.0)
     late = RouteSet(2, True, (route("a", up=5.0),))
-    assert overlay.told(late).routes[0].up_since == 110.0
-    assert overlay.told(replace(late, routes=(route("a", up=104.0),))).routes[0].up_since == 104.0
-    assert overlay.told(late).routes[0].up_since == 5.0  # its word holds from then on
+    assert overlay.apply(late).routes[0].up_since == 110.0
+    assert overlay.apply(replace(late, routes=(route("a", up=104.0),))).routes[0].up_since == 104.0
+    assert overlay.apply(late).routes[0].up_since == 5.0  # its word holds from then on
 
 
 def test_no_more_than_so_many_are_out() -> None:
     overlay = Overlay()
-    overlay.told(RouteSet(1, True, tuple(route(f"s{n}") for n in range(MOST_OUT + 1))))
-    faults = [overlay.say(f"s{n}", True, float(n)) for n in range(MOST_OUT + 1)]
-    assert [n for n, fault in enumerate(faults) if fault] == [MOST_OUT]
+    overlay.apply(RouteSet(1, True, tuple(route(f"s{n}") for n in range(MAX_EXCLUDED + 1))))
+    faults = [overlay.set_excluded(f"s{n}", True, float(n)) for n in range(MAX_EXCLUDED + 1)]
+    assert [n for n, fault in enumerate(faults) if fault] == [MAX_EXCLUDED]
 
 
 def test_a_next_hop_out_by_hand_gets_nothing_and_is_used_again_when_back(tmp_path: Path) -> None:
@@ -217,7 +217,7 @@
 def test_calls_are_answered_while_many_connections_hold_half_a_call(tmp_path: Path) -> None:
     with program(tmp_path, with_ops()) as running:
         running.logged("ready n0")
-        held = [dial(running) for _ in range(2 * server.MOST_CALLS)]
+        held = [dial(running) for _ in range(2 * server.MAX_CALLS)]
         for sock in held:
             sock.sendall(b"GET /api/ready HT")
         assert ask(running, "GET", "/api/ready") == (200, "yes\n")
--- a/tests/test_restart_readiness.py
+++ b/tests/test_restart_readiness.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from standflow.assembly import READY_AT_LATEST, Ingress
+from standflow.assembly import READY_TIMEOUT_SECONDS, Ingress
 from standflow.config import read
 from standflow.net.loop import Loop
 from tests.test_endings import Held, known
@@ -59,14 +59,16 @@
         ingress.start()
         due = [when for when, _, timer in loop.timers if timer.call == ingress._ready]
         assert due
-        assert due[0] <= loop.now() + READY_AT_LATEST <= loop.now() + LONGEST_WAIT
+        assert due[0] <= loop.now() + READY_TIMEOUT_SECONDS <= loop.now() + LONGEST_WAIT
         with socket.create_connection(ingress.clients.address, LIMIT) as client:
             client.sendall(PING)
             turn_until(loop, lambda: ingress.clients.ready)
-            assert loop.now() >= before + READY_AT_LATEST  # the list may be stale: discovery comes first
+            assert (
+                loop.now() >= before + READY_TIMEOUT_SECONDS
+            )  # the list may be stale: discovery comes first
             turn_until(loop, lambda: any(connection.answered for connection in ingress.clients.connections))
             assert read_until(client, b"\r\n") == b"+PONG\r\n"
-        assert not ingress.told
+        assert not ingress.routes_received
         ingress.close()
         loop.epoll.close()
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -24,7 +24,7 @@
 from lab.shutdown import Client, Send, Shutdown, kill_time, shut_down
 from standflow.exchange import Refused, Request
 from standflow.net.client_side import ClientSide
-from standflow.platform_terms import HOLD_UP_SECONDS
+from standflow.platform_terms import MAX_PAUSE_SECONDS
 from standflow.shutdown import close_all
 from standflow.shutdown_schedule import schedule_for
 from tests.test_adapter import ROOT
@@ -167,7 +167,7 @@
     restarts = []
     for deadline in (0.3, 0.8, 1.6, 5.0):
         held = schedule_for(deadline).answer_all - before
-        stops = ((held, int(signal.SIGSTOP)), (held + HOLD_UP_SECONDS, int(signal.SIGCONT)))
+        stops = ((held, int(signal.SIGSTOP)), (held + MAX_PAUSE_SECONDS, int(signal.SIGCONT)))
         restarts.append(Restart(deadline, stops))
     assert play_all(tmp_path, restarts) == []
 
@@ -195,7 +195,7 @@
         plan = schedule_for(deadline)
         assert plan.kill == pytest.approx(min(deadline, 3.0) + 0.7)
         assert 0.4 < plan.stop_accepting <= plan.stop_serving <= plan.answer_all < plan.exit
-        assert plan.exit + HOLD_UP_SECONDS <= plan.kill + 1e-9
+        assert plan.exit + MAX_PAUSE_SECONDS <= plan.kill + 1e-9
 
 
 def request(ident: str, patience: float) -> Request:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -33,9 +33,9 @@
 from standflow.net.loop import Loop
 from standflow.net.peers import Peers
 from standflow.upgrade import files as upgrade_files
-from standflow.upgrade.files import MOST_BYTES, Files, next_generation, pack, unpack
-from standflow.upgrade.handover import BEAT, Handover, Parts
-from standflow.upgrade.roles import LIVES, PATIENCE, Role, Seen, Stage
+from standflow.upgrade.files import MAX_FILE_BYTES, StateFiles, next_generation, pack, unpack
+from standflow.upgrade.handover import HEARTBEAT_SECONDS, Handover, HandoverCallbacks
+from standflow.upgrade.roles import LIVENESS_SECONDS, STATE_TIMEOUT_SECONDS, ProcessStatus, Role, Stage
 from tests.test_driver import Played
 from tests.test_ops import PING, VALUE, ask, with_ops
 from tests.wire import LIMIT, Program, command, config, member, program, read_until, turn_until
@@ -46,7 +46,10 @@
 
 def test_a_file_that_is_torn_foreign_or_huge_is_passed_over_and_the_rest_read(tmp_path: Path) -> None:
     log: list[str] = []
-    one, other = Files(f"{tmp_path}", "n0", 5, log.append), Files(f"{tmp_path}", "n0", 7, log.append)
+    one, other = (
+        StateFiles(f"{tmp_path}", "n0", 5, log.append),
+        StateFiles(f"{tmp_path}", "n0", 7, log.append),
+    )
     one.write({"generation": 5, "at": 1})
     assert other.others() == {5: {"generation": 5, "at": 1}}
     whole = pack({"generation": 6, "words": ["a" * 50]})
@@ -58,24 +61,27 @@
     stem = tmp_path / "standflow-n0-"
     Path(f"{stem}6.state").write_bytes(whole[:-1])
     Path(f"{stem}8.state").write_bytes(pack({"generation": 9}))
-    Path(f"{stem}10.state").write_bytes(b"x" * (MOST_BYTES + 1))
+    Path(f"{stem}10.state").write_bytes(b"x" * (MAX_FILE_BYTES + 1))
     Path(f"{stem}x.state").write_bytes(whole)
     (tmp_path / "standflow-n1-5.state").write_bytes(pack({"generation": 5}))
     for _ in range(3):  # what is wrong at two looks is said once
         assert list(other.others()) == [5]
     assert sorted(line.split(": ")[2] for line in log) == ["another process's", "too large", "torn"]
-    for number in range(upgrade_files.MOST_FILES + 5):
+    for number in range(upgrade_files.MAX_FILES + 5):
         Path(f"{stem}{100 + number}.state").write_bytes(pack({"generation": 100 + number}))
-    assert len(other.others()) <= upgrade_files.MOST_FILES
+    assert len(other.others()) <= upgrade_files.MAX_FILES
 
 
 def test_a_file_is_written_in_place_and_what_is_half_written_waits_for_the_next_look(
     tmp_path: Path,
 ) -> None:
     log: list[str] = []
-    one, other = Files(f"{tmp_path}", "n0", 5, log.append), Files(f"{tmp_path}", "n0", 7, log.append)
+    one, other = (
+        StateFiles(f"{tmp_path}", "n0", 5, log.append),
+        StateFiles(f"{tmp_path}", "n0", 7, log.append),
+    )
     one.write({"generation": 5, "words": ["long"] * 50})
-    path, first = one.own, one.own.stat().st_ino
+    path, first = one.path, one.path.stat().st_ino
     assert other.others()[5]["words"] == ["long"] * 50
     one.write({"generation": 5, "words": ["b"]})  # shorter, and within the same moment
     assert other.others()[5]["words"] == ["b"]
@@ -96,7 +102,10 @@
 ) -> None:
     """It went on to write the half that was never put in its place."""
     log: list[str] = []
-    one, other = Files(f"{tmp_path}", "n0", 5, log.append), Files(f"{tmp_path}", "n0", 7, log.append)
+    one, other = (
+        StateFiles(f"{tmp_path}", "n0", 5, log.append),
+        StateFiles(f"{tmp_path}", "n0", 7, log.append),
+    )
 
     def failing(*arguments: Any) -> Any:
         raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
@@ -119,7 +128,7 @@
 def test_a_file_is_whole_however_short_the_writes_are(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    one, other = (Files(f"{tmp_path}", "n0", number, lambda line: None) for number in (5, 7))
+    one, other = (StateFiles(f"{tmp_path}", "n0", number, lambda line: None) for number in (5, 7))
     pwrite = os.pwrite
     monkeypatch.setattr(os, "pwrite", lambda fd, data, at: pwrite(fd, data[:7], at))
     for word in ("a", "b"):
@@ -153,7 +162,7 @@
             for generation, role in roles.items():
                 if generation not in dead:
                     seen = [
-                        Seen(g, now - (LIVES + 1) * (g in dead), r.stage, r.handed_to)
+                        ProcessStatus(g, now - (LIVENESS_SECONDS + 1) * (g in dead), r.stage, r.handed_to)
                         for g, r in roles.items()
                         if g != generation
                     ]
@@ -173,9 +182,9 @@
         elif step == "die" and live:
             dead.add(live[which % len(live)])
         elif step == "wait":
-            now += PATIENCE
+            now += STATE_TIMEOUT_SECONDS
         settle()
-        now += PATIENCE + 0.1
+        now += STATE_TIMEOUT_SECONDS + 0.1
         settle()
         able = [g for g, r in roles.items() if g not in dead and r.stage is not Stage.STARTING]
         assert [g for g in able if roles[g].stage is Stage.SERVING] == able[-1:]
@@ -184,9 +193,9 @@
 def test_a_new_process_waits_for_the_one_before_it_but_not_for_ever() -> None:
     role = Role(2)
     role.ask(10.0)
-    before = Seen(1, 10.0, Stage.SERVING, 0)
+    before = ProcessStatus(1, 10.0, Stage.SERVING, 0)
     assert role.step([before], 10.1) == ""
-    assert role.step([Seen(1, 10.0, Stage.SERVING, 0)], 10.2 + PATIENCE) == "begin"
+    assert role.step([ProcessStatus(1, 10.0, Stage.SERVING, 0)], 10.2 + STATE_TIMEOUT_SECONDS) == "begin"
 
 
 def test_the_old_one_is_silent_before_the_new_one_begins_and_speaks_again_when_that_is_gone(
@@ -218,12 +227,14 @@
     old = part("old")
     turn_until(loop, lambda: "old begins" in said)
     monkeypatch.setattr(time, "time", lambda: wall() + step)
-    beats = old.written
-    turn_until(loop, lambda: old.written > beats + 2 * BEAT)  # it goes on to say that it lives
+    beats = old.written_at
+    turn_until(
+        loop, lambda: old.written_at > beats + 2 * HEARTBEAT_SECONDS
+    )  # it goes on to say that it lives
     new = part("new")
     turn_until(loop, lambda: "new adds 2" in said)
     monkeypatch.setattr(time, "time", wall)
-    end = time.monotonic() + LIVES + 0.5
+    end = time.monotonic() + LIVENESS_SECONDS + 0.5
     turn_until(loop, lambda: time.monotonic() > end)
     assert "old resumes" not in said  # the new one lives
     assert said.count("new begins") == 1
@@ -237,7 +248,7 @@
 ) -> None:
     said: list[str] = []
     loop, wall = Loop(said.append), time.time
-    stuck = Files(f"{tmp_path}", "n0", 5, said.append)
+    stuck = StateFiles(f"{tmp_path}", "n0", 5, said.append)
 
     def beat() -> None:
         part = {"generation": 5, "at": time.time(), "stage": "serving", "handed_to": 0}
@@ -249,7 +260,7 @@
     began = time.monotonic()
     monkeypatch.setattr(time, "time", lambda: wall() - 3600.0)
     turn_until(loop, lambda: "new begins" in said)
-    assert PATIENCE - 0.1 < time.monotonic() - began < 2 * PATIENCE
+    assert STATE_TIMEOUT_SECONDS - 0.1 < time.monotonic() - began < 2 * STATE_TIMEOUT_SECONDS
     loop.epoll.close()
 
 
@@ -259,18 +270,18 @@
     def note(*what: Any) -> Any:
         said.append(" ".join([name, *map(str, what)]))
 
-    parts = Parts(
-        export=lambda: {"known": name},
-        absorb=lambda told: note("absorbs", told["known"]),
+    parts = HandoverCallbacks(
+        export_state=lambda: {"known": name},
+        import_state=lambda told: note("absorbs", told["known"]),
         spent=lambda: [["00", "plain", 0, 1, 2 if name == "old" else 3]],
         add=lambda row: note("adds", row[4]),
         resume=lambda: note("resumes"),
-        speak=lambda wanted: note("speaks", wanted),
-        crowd=lambda another: None,
+        set_peer_sending=lambda wanted: note("speaks", wanted),
+        share_limits=lambda another: None,
         routes=lambda: [name],
-        take_routes=lambda members: note("lists", *members),
+        import_routes=lambda members: note("lists", *members),
         overlay=None,
-        heard=note,
+        override_changed=note,
         evacuated=lambda: (False, 0.0),
         evacuate=note,
     )
@@ -539,10 +550,10 @@
     loop = Loop(lambda line: None)
     one = Ingress(load_config({"EDGE_CONFIG": f"{path}"}, print), loop, print)
     whole = (one.next_hops.max_connections, one.next_hops.flows.budget, one.clients.bodies.budget)
-    one._crowd(True)
+    one._share_limits(True)
     half = (one.next_hops.max_connections, one.next_hops.flows.budget, one.clients.bodies.budget)
     assert half == tuple(most // 2 for most in whole)
-    one._crowd(False)
+    one._share_limits(False)
     assert whole == (one.next_hops.max_connections, one.next_hops.flows.budget, one.clients.bodies.budget)
     one.close()
     loop.epoll.close()
@@ -625,7 +636,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # What a process told before was lost with a state file torn by a kill.
-    writer = Files(str(tmp_path), "n0", 1, lambda line: None)
+    writer = StateFiles(str(tmp_path), "n0", 1, lambda line: None)
     writer.write({"generation": 1, "told": "first", "filler": "x" * 20_000})
     pwrite = os.pwrite
 
@@ -637,7 +648,7 @@
     with pytest.raises(KeyboardInterrupt):
         writer.write({"generation": 1, "told": "second", "filler": "y" * 20_000})
     monkeypatch.undo()
-    reader = Files(str(tmp_path), "n0", 2, lambda line: None)
+    reader = StateFiles(str(tmp_path), "n0", 2, lambda line: None)
     looks = [reader.others() for _ in range(3)]
     assert looks[-1].get(1, {}).get("told") in ("first", "second")
 
@@ -648,10 +659,10 @@
 def test_a_write_that_breaks_off_at_any_byte_leaves_the_record_before_it(
     sizes: tuple[int, ...], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The newest record was overwritten in place, whatever its size.
+    # The newest_record record was overwritten in place, whatever its size.
     pwrite, chance = os.pwrite, random.Random(3)
-    writer = Files(str(tmp_path), "n0", 1, lambda line: None)
-    reader = Files(str(tmp_path), "n0", 2, lambda line: None)
+    writer = StateFiles(str(tmp_path), "n0", 1, lambda line: None)
+    reader = StateFiles(str(tmp_path), "n0", 2, lambda line: None)
     writer.write({"generation": 1, "number": 0})
     for number, size in enumerate(sizes, start=1):
         record = {"generation": 1, "number": number, "filler": "x" * size}
@@ -666,7 +677,7 @@
                 patch.setattr(os, "pwrite", killed)
                 with pytest.raises(KeyboardInterrupt):
                     writer.write(record)
-            assert Files(str(tmp_path), "n0", 3, lambda line: None).others()[1]["number"] == number - 1
+            assert StateFiles(str(tmp_path), "n0", 3, lambda line: None).others()[1]["number"] == number - 1
         writer.write(record)
         assert reader.others()[1]["number"] == number
 
@@ -675,11 +686,11 @@
     # A kill tore the only record; short writes, so that most kills come in the middle of one.
     code = """if True:
         import os, sys
-        from standflow.upgrade.files import Files
+        from standflow.upgrade.files import StateFiles
         pwrite = os.pwrite
         os.pwrite = lambda fd, data, at: pwrite(fd, data[:512], at)
         generation, number = int(sys.argv[2]), 0
-        files = Files(sys.argv[1], "n0", generation, print)
+        files = StateFiles(sys.argv[1], "n0", generation, print)
         while True:
             number += 1
             filler = chr(ord("a") + number % 26) * 20_000
@@ -696,17 +707,17 @@
             process.kill()
             told = [line for line in process.stdout.read().split("\n")[:-1] if line]
         last = int(told[-1]) if told else 1
-        reader = Files(str(tmp_path), "n0", 1_000, lambda line: None)
+        reader = StateFiles(str(tmp_path), "n0", 1_000, lambda line: None)
         looks = [reader.others() for _ in range(3)]
         assert looks[-1].get(generation, {}).get("number") in (last, last + 1)
 
 
 def test_a_file_of_an_earlier_version_is_read_and_that_reads_ours(tmp_path: Path) -> None:
     # Two processes that meet in an upgrade may be of two versions.
-    files = Files(str(tmp_path), "n0", 5, lambda line: None)
+    files = StateFiles(str(tmp_path), "n0", 5, lambda line: None)
     (tmp_path / "standflow-n0-4.state").write_bytes(pack({"generation": 4, "stage": "serving"}) + b"rest")
     assert files.others() == {4: {"generation": 4, "stage": "serving"}}
     for number in range(4):
         files.write({"generation": 5, "number": number})
-        first_slot = unpack(files.own.read_bytes())  # as an earlier version reads it: one write late at most
+        first_slot = unpack(files.path.read_bytes())  # as an earlier version reads it: one write late at most
         assert first_slot["number"] in (number, number - 1)
