--- a/standflow/driver.py
+++ b/standflow/driver.py
@@ -37,7 +37,7 @@
 
 
 class Driver:
-    """Hands the module one event at a time and carries out what it decides, in its order."""
+    """Passes events to the module one at a time and carries out the actions it returns, in order."""
 
     def __init__(
         self,
@@ -58,17 +58,18 @@
             send_to_peer,
             fetch_routes,
         )
-        # One offset for the whole run: steps of the wall clock must not reach the module.
+        # Fixed for the whole run, so that steps of the wall clock don't reach the module.
         self.clock_offset = time.time() - time.monotonic()
         self.start_times = StartTimes()
         self.module = Gateway(settings, seed)
-        # key, size, place, count, level, fullness: where a second witness takes notes, it stands here
+        # Arguments: key, ring size, ring index, count, level, fullness. Set by counter reconciliation.
         self.report_use: Callable[[bytes, int, int, int, float, float], None] = lambda *note: None
-        self.count: Callable[[int, float, float], None] = self._no_counter  # name, amount, life of a new one
-        self.exported_counts: dict[bytes, int] = {}  # counts of own use when they were exported
+        # Arguments: name, amount, lifetime of a new counter. Set where the counter service is called.
+        self.count: Callable[[int, float, float], None] = self._no_counter
+        self.exported_counts: dict[bytes, int] = {}  # the module's own use at the last export or import
         self.events: deque[tuple[i.Event, Transaction | None]] = deque()
         self.dispatching = False
-        self.handled_at = loop.now()  # when the event in hand was told, of the loop's clock
+        self.handled_at = loop.now()  # when the current event was passed to the module, on the loop's clock
         self.handlers: dict[type[i.Action], Callable[[Any], object]] = {
             i.Send: lambda action: self.exchange.send(action.request, action.backend, action.timeout),
             i.Cancel: lambda action: self.exchange.cancel(action.request, action.attempt),
@@ -80,7 +81,7 @@
             i.CloseIdle: lambda action: self.close_idle(action.backend),
             i.Count: lambda action: self.count(action.name, action.amount, action.lifetime),
             i.FetchList: lambda action: self.fetch_routes(),
-            i.Subscribe: lambda action: None,  # the watch stands from the start
+            i.Subscribe: lambda action: None,  # the watch runs from the start
             i.Log: lambda action: self.log(f"module: {action.text}"),
             i.UseNoted: lambda action: self.report_use(
                 action.key, action.size, action.place, action.count, action.level, action.fullness
@@ -88,13 +89,13 @@
         }
 
     def start(self, saved: RouteSet | None) -> None:
-        """Begins the module's life: what it knew last comes first, stale as it may be."""
+        """Starts the module, first with the saved route set, which may be stale."""
         self.dispatch(i.Started())
         if saved is not None:
             self.routes_updated(saved, saved=True)
 
     def dispatch(self, event: i.Event, transaction: Transaction | None = None) -> None:
-        """Events that come up while actions are carried out wait their turn."""
+        """Handles an event; events caused by its actions are queued and handled after it."""
         self.events.append((event, transaction))
         if self.dispatching:
             return
@@ -106,19 +107,21 @@
             self.dispatching = False
 
     def _handle(self, event: i.Event, transaction: Transaction | None) -> None:
-        # The process may be held up at any point: what the module reckons with is one reading of the clock.
+        # The process may be paused at any point, so everything is computed from one reading of the clock.
         self.handled_at = self.loop.now()
         if isinstance(event, i.RequestArrived) and transaction is not None:
             event = replace(event, time_left=transaction.deadline - self.handled_at)
         try:
             actions = self.module.handle(self.handled_at + self.clock_offset, event)
         except Exception:
-            # The ingress stays up: the transaction in hand is answered, the others go on.
+            # The ingress keeps running: this transaction is answered, the others are not affected.
             name = type(event).__name__
             self.log(f"fault of the module on {name}: " + traceback.format_exc().replace("\n", " | "))
             if transaction is not None:
                 self.exchange.abandon(transaction, AbandonReason.FAULT)
-                if not isinstance(event, i.RequestGone):  # what the module may still hold of it is over
+                if not isinstance(
+                    event, i.RequestGone
+                ):  # the module drops what it still holds of the request
                     self.events.append((i.RequestGone(transaction.name), None))
             return
         for action in actions:
@@ -130,7 +133,7 @@
     # Events.
 
     def transaction_opened(self, transaction: Transaction) -> None:
-        """RequestArrived, with the time that is left now."""
+        """Passes RequestArrived with the time that is left now."""
         request = transaction.request
         event = i.RequestArrived(
             request=transaction.name,
@@ -145,15 +148,15 @@
         self.dispatch(event, transaction)
 
     def transaction_gone(self, transaction: Transaction) -> None:
-        """RequestGone."""
+        """Passes RequestGone."""
         self.dispatch(i.RequestGone(transaction.name))
 
     def stream_started(self, branch: Branch, latency: float) -> None:
-        """StreamStarted."""
+        """Passes StreamStarted."""
         self.dispatch(i.StreamStarted(branch.transaction.name, branch.number, branch.hop, latency))
 
     def branch_ended(self, branch: Branch, result: Result, latency: float, finished: bool) -> None:
-        """AttemptEnded; late ones are told as well."""
+        """Passes AttemptEnded, also after the transaction was answered."""
         event = i.AttemptEnded(
             request=branch.transaction.name,
             backend=branch.hop,
@@ -168,13 +171,13 @@
         self.dispatch(event, branch.transaction)
 
     def routes_updated(self, routes: RouteSet, saved: bool = False) -> None:
-        """BackendsListed."""
-        whole = i.ListKind.SAVED if saved else i.ListKind.FULL
+        """Passes BackendsListed."""
+        complete_kind = i.ListKind.SAVED if saved else i.ListKind.FULL
         now, wall = self.loop.now() + self.clock_offset, time.time()
         if routes.complete:
             self.start_times.keep_only({route.hop for route in routes.routes})
         entries = tuple(self._entry(route, now, wall) for route in routes.routes)
-        self.dispatch(i.BackendsListed(whole if routes.complete else i.ListKind.CHANGES, entries))
+        self.dispatch(i.BackendsListed(complete_kind if routes.complete else i.ListKind.CHANGES, entries))
 
     def _entry(self, route: Route, now: float, wall: float) -> i.BackendEntry:
         if route.phase is Phase.GONE:
@@ -185,91 +188,91 @@
         return i.BackendEntry(route.hop, route.zone, route.kind, route.cell, phase, route.size, started)
 
     def reconfigure(self, settings: i.Settings) -> None:
-        """Retuned."""
+        """Passes Retuned."""
         self.settings = settings
         self.dispatch(i.Retuned(settings))
 
     def use_observed(self, key: bytes, place: int, count: int, level: float) -> None:
-        """UseWitnessed."""
+        """Passes UseWitnessed."""
         self.dispatch(i.UseWitnessed(key, place, count, level))
 
     def membership_changed(self, seen: Snapshot) -> None:
-        """FleetSeen."""
+        """Passes FleetSeen."""
         event = i.FleetSeen(seen.alive, seen.missing, seen.has_quorum, seen.among, seen.returned)
         self.dispatch(event)
 
     def peers_last_seen(self) -> list[float]:
-        """When a sound message of each other ingress came last, of the loop's clock."""
+        """When the last valid message of each other ingress arrived, on the loop's clock."""
         return [peer.heard - self.clock_offset for peer in self.module.peers.values()]
 
     def export_state(self) -> dict[str, Any]:
-        """What the module knows, for another process of this ingress."""
+        """The module's state, for another process of this ingress."""
         from hoistfold import handover
 
-        told = handover.export(self.module) | {"offset": self.clock_offset}
+        state = handover.export(self.module) | {"offset": self.clock_offset}
         self.exported_counts = handover.counts(self.module)
-        return told
+        return state
 
-    def import_state(self, told: dict[str, Any]) -> None:
-        """Takes in what another process's module knew; ValueError, KeyError or TypeError where it can't."""
+    def import_state(self, state: dict[str, Any]) -> None:
+        """Takes over another process's state; ValueError, KeyError or TypeError if it is malformed."""
         from hoistfold import handover
 
-        # Both read one monotonic clock; their offsets differ where the wall clock was stepped between starts.
-        handover.absorb(self.module, told, self.clock_offset - float(told.get("offset", self.clock_offset)))
+        # Both processes read the same monotonic clock; their offsets differ if the wall clock was stepped
+        # between their starts.
+        handover.absorb(self.module, state, self.clock_offset - float(state.get("offset", self.clock_offset)))
         self.exported_counts = handover.counts(self.module)
 
     def spent(self) -> list[list[Any]]:
-        """Use since `export` or `absorb`, without what `add` took in."""
+        """Use since `export_state` or `import_state`, without what `add` contributed."""
         from hoistfold import handover
 
         return handover.spent(self.module, self.exported_counts)
 
     def add(self, use: list[Any]) -> None:
-        """Use by another process of this ingress, a row of its `spent`."""
+        """Adds use by another process of this ingress, a row of its `spent`."""
         from hoistfold import handover
 
         handover.add(self.module, self.loop.now() + self.clock_offset, *use)
         key, more = bytes.fromhex(use[0]), use[4]
-        self.exported_counts[key] = (
-            self.exported_counts.get(key, 0) + more
-        ) & 0xFFFF  # the other process knows of it
+        # The other process knows of it, so `spent` must not report it back.
+        self.exported_counts[key] = (self.exported_counts.get(key, 0) + more) & 0xFFFF
 
     def resume(self) -> None:
-        """The other process is gone."""
+        """The other process has exited: this one uses again what it handed over."""
         from hoistfold import handover
 
         handover.resume(self.module)
 
     def used_since(self, since: float) -> list[list[Any]]:
-        """Windows used since then, of the loop's clock."""
+        """Quota windows used since a time of the loop's clock."""
         from hoistfold import handover
 
         return handover.used(self.module, since + self.clock_offset)
 
     def restore_use(self, rows: list[list[Any]]) -> None:
-        """Windows that an earlier life may have spent."""
+        """Restores quota windows that an earlier process run may have spent."""
         from hoistfold import handover
 
         handover.refill(self.module, self.loop.now() + self.clock_offset, rows)
 
     def learnt(self) -> dict[str, Any]:
-        """What the module learnt, as a hint for a later life."""
+        """What the module learnt about backends and classes, as a hint for a later process run."""
         from hoistfold import handover
 
         return handover.learnt(self.module)
 
-    def learn(self, told: dict[str, Any]) -> None:
-        """Takes such a hint in."""
+    def learn(self, hint: dict[str, Any]) -> None:
+        """Takes in such a hint."""
         from hoistfold import handover
 
-        handover.learn(self.module, self.loop.now() + self.clock_offset, told)
+        handover.learn(self.module, self.loop.now() + self.clock_offset, hint)
 
     def ejected(self) -> set[str]:
-        """The next hops that the module avoids now."""
+        """The next hops that outlier detection has ejected."""
         return self.module.avoided()
 
     def peer_message_received(self, sender: int, content: bytes) -> None:
-        """PeerMessage."""
+        """Passes PeerMessage."""
         self.dispatch(i.PeerMessage(sender, content))
 
     def _timer_fired(self, handle: int) -> None:
@@ -282,7 +285,7 @@
     # Actions.
 
     def _set_timer(self, action: i.SetTimer) -> None:
-        """The delay counts from when the module was told, not from when its answer is carried out."""
+        """The delay counts from the module's decision, not from when the action is carried out."""
         self.loop.call_at(self.handled_at + max(0.0, action.delay), self._timer_fired, action.handle)
 
     def _refuse(self, action: i.Refuse) -> None:
@@ -290,19 +293,19 @@
         self.exchange.refuse(action.request, action.retry_after)
 
     def _probe(self, action: i.Probe) -> None:
-        began = self.loop.now()
+        started_at = self.loop.now()
 
         def ended(result: Result) -> None:
-            outcome, latency = OUTCOMES[result.outcome], self.loop.now() - began
+            outcome, latency = OUTCOMES[result.outcome], self.loop.now() - started_at
             self.dispatch(i.ProbeEnded(action.backend, outcome, latency, self._report(result)))
 
         self.probe(action.backend, ended)
 
-    def count_answered(self, name: int, outcome: Outcome, total: float, took: float) -> None:
-        """CountAnswered."""
-        self.dispatch(i.CountAnswered(name, OUTCOMES[outcome], total, took))
+    def count_answered(self, name: int, outcome: Outcome, total: float, latency: float) -> None:
+        """Passes CountAnswered."""
+        self.dispatch(i.CountAnswered(name, OUTCOMES[outcome], total, latency))
 
-    def _no_counter(self, name: int, amount: float, life: float) -> None:
-        """Nobody was given the calls: this one was never made."""
+    def _no_counter(self, name: int, amount: float, lifetime: float) -> None:
+        """No counter client is attached: the call fails without being made."""
         self.log(f"driver: count {name} has no client and was not made")
         self.count_answered(name, Outcome.CONNECT_FAILED, 0.0, 0.0)
--- a/standflow/exchange.py
+++ b/standflow/exchange.py
@@ -1,8 +1,9 @@
 """Transactions and branches: where the client side and the next-hop side meet.
 
-Nothing here knows a protocol: what a client asked is carried as an opaque message, and so is the value that
-a next hop gave for it. Decisions come from the driver. The exchange holds what must be true whatever is
-decided: each transaction gets one final answer before its deadline, and nothing runs twice that must not.
+Nothing here knows a protocol: a client's command is carried as an opaque message, and so is the value that a
+next hop returned for it. Decisions come from the driver. The exchange enforces what holds whatever is
+decided: each transaction gets exactly one final answer before its deadline, and a command that is not safe to
+repeat never runs twice.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class Outcome(Enum):
-    """How a branch, a probe or a count ended."""
+    """How a branch, a probe or a counter call ended."""
 
     OK = "ok"
     ERROR = "error"
@@ -33,7 +34,7 @@
 
 
 class Phase(Enum):
-    """What the route set says of a next hop."""
+    """The state of a next hop in the route set."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -56,17 +57,17 @@
 
 @dataclass(slots=True, frozen=True)
 class RouteSet:
-    """A whole route set, or the changes to it."""
+    """A complete route set, or changes to it."""
 
     revision: int
     complete: bool
     routes: tuple[Route, ...]
-    partial: bool = False  # more was said, and could not be read
+    partial: bool = False  # some members of the message could not be parsed
 
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """What the client side took in, for any protocol."""
+    """A request as the client side received it, for any protocol."""
 
     class_name: str
     plan: str
@@ -76,8 +77,8 @@
     ring_size: int
     ring_first: int
     message: Any
-    ident: object = None  # the client's own name for it; no two open ones may share it
-    release: Callable[[], None] | None = None  # called once when nothing of it is needed any more
+    ident: object = None  # the client's request id, unique among open requests
+    release: Callable[[], None] | None = None  # called once when the request's resources are no longer needed
 
 
 @dataclass(slots=True, frozen=True)
@@ -89,14 +90,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Refused:
-    """Final answer: coming again is harmless, best after so many seconds."""
+    """Final answer: a retry does no harm, preferably after this many seconds."""
 
     retry_after: float | None
 
 
 @dataclass(slots=True, frozen=True)
 class Failed:
-    """Final answer: nothing is promised."""
+    """Final answer: the request may or may not have run."""
 
     reason: str
 
@@ -110,16 +111,16 @@
 
 
 class AbandonReason(Enum):
-    """Why the exchange answered a request in the module's place."""
+    """Why the exchange answered a request without a decision of the module."""
 
-    OVERDUE = "overdue"  # the module had not decided in time
-    ENDING = "ending"  # the process is about to end
-    FAULT = "fault"  # the module failed over it
+    OVERDUE = "overdue"  # no decision before the deadline
+    ENDING = "ending"  # the process is about to exit
+    FAULT = "fault"  # the module raised an exception
 
 
 @dataclass(slots=True, frozen=True)
 class Result:
-    """How a branch or a probe ended, with what the next hop told beside it."""
+    """How a branch or a probe ended, with the load report of the next hop."""
 
     outcome: Outcome
     value: Any = None
@@ -129,22 +130,22 @@
 
 @dataclass(slots=True)
 class TransactionCounts:
-    """How many transactions of one class were taken in and how they ended, since the process began."""
+    """Transactions of one class since the process started: how many were accepted and how they ended."""
 
     taken: int = 0
     succeeded: int = 0
     declined: int = 0
     aborted: int = 0
-    gone: int = 0  # the client had left
+    gone: int = 0  # the client disconnected first
 
     @property
     def open(self) -> int:
-        """Those that have not ended."""
+        """Transactions that have not ended."""
         return self.taken - self.succeeded - self.declined - self.aborted - self.gone
 
 
 class InvalidRequestError(ValueError):
-    """A request that can't be taken in; its text tells the client why."""
+    """A request that can't be accepted; the message is sent to the client."""
 
 
 class Branch:
@@ -162,12 +163,12 @@
         self.started_at, self.deadline = started_at, deadline
         self.outcome: Outcome | None = None
         self.timer: Timer | None = None
-        self.first_byte_at: float | None = None  # when the first bytes of a long value came
-        self.context: Any = None  # the next-hop side's own
+        self.first_byte_at: float | None = None  # set when a long value starts to arrive
+        self.context: Any = None  # private to the next-hop side
 
     @property
     def may_have_run(self) -> bool:
-        """False only where the outcome proves that it did not."""
+        """False only if the outcome proves that the command did not run."""
         return self.outcome not in NEVER_RAN
 
 
@@ -192,12 +193,12 @@
         self.name, self.request, self.safe, self.deadline, self.reply = name, request, safe, deadline, reply
         self.branches: list[Branch] = []
         self.open = True
-        self.running = 0
+        self.running = 0  # branches without an outcome
         self.deadline_timer: Timer | None = None
-        self.streaming: Branch | None = None  # its value is being passed on: the answer, and not over yet
+        self.streaming: Branch | None = None  # the branch whose value is the answer and still arriving
 
     def describe(self) -> str:
-        """For the log: the client's id of it, its class, and where its attempts are or how they ended."""
+        """For the log: the client's request id, the class, and the state of each attempt."""
         ident = self.request.ident
         name = ident.decode("ascii", "replace") if isinstance(ident, bytes) else ident
         attempts = [f"{b.hop}:{'out' if b.outcome is None else b.outcome.value}" for b in self.branches]
@@ -205,34 +206,34 @@
 
     @property
     def may_refuse(self) -> bool:
-        """True while a client's repeat would do no harm."""
+        """True while a retry by the client would do no harm."""
         return self.safe or not any(branch.may_have_run for branch in self.branches)
 
 
 class NextHopSide(Protocol):
-    """What the exchange asks of the component that speaks to next hops."""
+    """The transport towards next hops, as the exchange uses it."""
 
     def start(self, branch: Branch) -> None:
-        """Takes the branch to its next hop; the result comes back by branch_ended, never within the call."""
+        """Sends the branch to its next hop; branch_ended gets the result, never within this call."""
 
     def give_up(self, branch: Branch) -> bool:
-        """Ends the branch with no result to come; true where its command had been written whole."""
+        """Ends the branch without a result; true if its command had been written completely."""
 
     def unsent(self, branch: Branch) -> bool:
-        """True while its command is not written whole, so that it can still be taken back."""
+        """True while the command is not written completely, so that it can still be withdrawn."""
 
 
 class Decisions(Protocol):
-    """What the exchange tells the driver."""
+    """The driver, as the exchange calls it."""
 
     def transaction_opened(self, transaction: Transaction) -> None:
-        """A transaction waits for its decision."""
+        """A transaction needs a decision."""
 
     def transaction_gone(self, transaction: Transaction) -> None:
-        """A transaction is over by no decision of the module."""
+        """A transaction ended without a decision of the module."""
 
     def stream_started(self, branch: Branch, latency: float) -> None:
-        """The first bytes of a long value have come: they are the answer."""
+        """The first bytes of a long value arrived, which makes this branch the answer."""
 
     def branch_ended(self, branch: Branch, result: Result, latency: float, finished: bool) -> None:
         """A branch has its outcome."""
@@ -241,9 +242,7 @@
 class Exchange:
     """Opens transactions for the client side and branches at the next-hop side."""
 
-    DEADLINE_MARGIN = (
-        0.003  # seconds before the deadline at which what is still open is answered here, at most
-    )
+    DEADLINE_MARGIN = 0.003  # seconds before its deadline at which an open request is answered here, at most
 
     def __init__(
         self,
@@ -263,31 +262,35 @@
     ) -> None:
         self.loop, self.log, self.tally, self.count_branch = loop, log, tally, count_branch
         self.classes, self.plans = dict(classes), plans  # classes: by name, true where safe to repeat
-        self.retiring: dict[str, bool] = {}  # as classes were until lately: clients may not know yet
+        # Classes from before a reload, accepted until clients know the new ones.
+        self.retiring: dict[str, bool] = {}
         self.max_branches, self.max_open = max_branches, max_open
         self.ingresses, self.number, self.max_units = ingresses, number, max_units
-        # The module decides two ticks before the deadline: with a short tick the guard would come before it.
+        # The module decides two ticks before the deadline: with a short tick a fixed margin would come first.
         self.deadline_margin = min(self.DEADLINE_MARGIN, tick)
         self.open_idents: set[object] = set()
-        self.default_retry_after = default_retry_after  # what a refusal of the exchange's own advises
+        self.default_retry_after = default_retry_after  # for refusals without a decision of the module
         self.decisions: Decisions
         self.next_hops: NextHopSide
         self.transactions: dict[str, Transaction] = {}
         self.open_count = 0
-        self.final_deadline = math.inf  # of the loop's clock: the process ends then
-        # one dropped keeps its counts
+        self.final_deadline = math.inf  # on the loop's clock: when the process exits
+        # Classes that a reload removed keep their counts.
         self.counts: dict[str, TransactionCounts] = {name: TransactionCounts() for name in classes}
         self.serial = 0
 
-    # The client side.
+    # Called by the client side.
 
     def open(self, request: Request, received_at: float, reply: Callable[[FinalAnswer], None]) -> Transaction:
-        """Takes in a request that came at a time of the loop's clock; reply is called once, maybe at once."""
-        if not (said := self.safe_flags(request.class_name)):
+        """Accepts a request received at a time of the loop's clock.
+
+        `reply` is called exactly once, possibly before this returns.
+        """
+        if not (flags := self.safe_flags(request.class_name)):
             raise InvalidRequestError("unknown class")
         if request.plan not in self.plans:
             raise InvalidRequestError("unknown plan")
-        # One bad set would fix a usual customer's ring, and bad units use up its quota.
+        # An invalid set would be kept as the ring of its tenant, and invalid units would use up the quota.
         if not 1 <= request.ring_size <= self.ingresses or not 0 <= request.ring_first < self.ingresses:
             raise InvalidRequestError("the set is out of range")
         if (self.number - request.ring_first) % self.ingresses >= request.ring_size:
@@ -301,7 +304,7 @@
         self.serial += 1
         name = f"{self.serial}"
         deadline = min(received_at + request.timeout, self.final_deadline)
-        transaction = Transaction(name, request, all(said), deadline, reply, self.max_branches)
+        transaction = Transaction(name, request, all(flags), deadline, reply, self.max_branches)
         self.open_count += 1
         if self.open_count > self.max_open or self.loop.now() >= self.final_deadline:
             self.transactions[name] = transaction
@@ -311,7 +314,7 @@
         self.transactions[name] = transaction
         if request.ident is not None:
             self.open_idents.add(request.ident)
-        # The module sets a timer of its own, a little earlier: this one guards against its silence.
+        # The module sets its own timer slightly earlier; this one answers if the module does not.
         transaction.deadline_timer = self.loop.call_at(
             deadline - self.deadline_margin, self._overdue, transaction
         )
@@ -319,14 +322,15 @@
         return transaction
 
     def safe_flags(self, class_name: str) -> set[bool]:
-        """What holds of a class, true where it is safe to repeat: one thing, or two while it changes."""
-        return {where[class_name] for where in (self.classes, self.retiring) if class_name in where}
+        """Whether a class is safe to repeat: one value, two during a reload, none if it is unknown."""
+        return {classes[class_name] for classes in (self.classes, self.retiring) if class_name in classes}
 
     def reconfigure(self, classes: Mapping[str, bool], max_branches: int) -> dict[str, bool]:
-        """Other classes and another number of branches hold for what comes from now on.
+        """Applies other classes and another number of branches to requests that arrive from now on.
 
-        Classes that were dropped, or have another effect, are taken as they were too until `settled`; they
-        are returned. What is open keeps its class, and the smaller number of branches.
+        Returns the classes that were removed or have another effect. They are accepted with their old
+        meaning as well until `finish_reconfigure`. An open request keeps its class, and the smaller number of
+        branches applies to it.
         """
         before = self.classes | self.retiring
         self.classes, self.max_branches = dict(classes), max_branches
@@ -336,19 +340,19 @@
         return self.retiring
 
     def finish_reconfigure(self) -> None:
-        """The classes before the last `retune` are over."""
+        """Stops accepting the classes from before the last `reconfigure`."""
         self.retiring = {}
 
     def client_gone(self, transaction: Transaction) -> None:
-        """The client has left: nothing is owed any more. A branch whose command is written runs on as the
-        module sees fit; one that still waits for its connection is taken back.
+        """The client disconnected: no answer is owed any more. A branch whose command is written continues if
+        the module wants it to; one that still waits for its connection is withdrawn.
         """
         if transaction.open:
             self.tally("answer.gone")
             self.counts[transaction.request.class_name].gone += 1
             self._close(transaction)
             self.decisions.transaction_gone(transaction)
-            for waiting in [one for one in transaction.branches if one.outcome is None]:
+            for waiting in [branch for branch in transaction.branches if branch.outcome is None]:
                 if self.next_hops.unsent(waiting):
                     self.next_hops.give_up(waiting)
                     self.branch_ended(waiting, Result(Outcome.CANCELLED))
@@ -361,7 +365,7 @@
             self.branch_ended(branch, Result(Outcome.CANCELLED))
 
     def value_timed_out(self, transaction: Transaction) -> None:
-        """The value of which the first bytes have come is not whole in time, and nobody waits for it."""
+        """A value that started to arrive is not complete at the deadline of its client."""
         if (branch := transaction.streaming) is not None:
             self.tally("answer.cut")
             self.counts[transaction.request.class_name].aborted += 1
@@ -369,10 +373,10 @@
             self.next_hops.give_up(branch)
             self.branch_ended(branch, Result(Outcome.TIMEOUT))
 
-    # The driver.
+    # Called by the driver.
 
     def send(self, name: str, hop: str, timeout: float | None) -> Branch | None:
-        """Starts a branch; where that isn't allowed, its outcome is told as all outcomes are."""
+        """Starts a branch. One that isn't allowed ends as MOOT, reported like any other outcome."""
         transaction = self.transactions.get(name)
         if transaction is None:
             self.log(f"exchange: a branch for transaction {name}, which is over, was not started")
@@ -380,11 +384,11 @@
         now = self.loop.now()
         limit = transaction.deadline if timeout is None else min(transaction.deadline, now + timeout)
         branch = Branch(transaction, len(transaction.branches), hop, now, limit)
-        most = min(transaction.max_branches, self.max_branches)
-        harmful = not transaction.safe and any(b.may_have_run for b in transaction.branches)
+        max_branches = min(transaction.max_branches, self.max_branches)
+        may_repeat_effect = not transaction.safe and any(b.may_have_run for b in transaction.branches)
         transaction.branches.append(branch)
-        if not transaction.open or limit <= now or branch.number >= most or harmful:
-            # A rule that the module has to keep as well; a second effect can't be taken back.
+        if not transaction.open or limit <= now or branch.number >= max_branches or may_repeat_effect:
+            # The module has to follow this rule too; it is enforced here since an effect can't be undone.
             branch.outcome = Outcome.MOOT
             self.decisions.branch_ended(branch, Result(Outcome.MOOT), 0.0, not transaction.open)
             return branch
@@ -394,7 +398,7 @@
         return branch
 
     def cancel(self, name: str, number: int) -> None:
-        """Gives a branch up; its outcome is cancelled unless it has ended."""
+        """Gives up a branch, with the outcome CANCELLED unless it has one already."""
         transaction = self.transactions.get(name)
         if transaction is not None and number < len(transaction.branches):
             branch = transaction.branches[number]
@@ -403,7 +407,7 @@
                 self.branch_ended(branch, Result(Outcome.CANCELLED))
 
     def refuse(self, name: str, retry_after: float | None) -> None:
-        """Final answer: refused; a failure where a repeat could do harm."""
+        """Final answer: refused, or failed if a retry could do harm."""
         transaction = self.transactions.get(name)
         if transaction is not None and transaction.open:
             if transaction.may_refuse:
@@ -419,33 +423,33 @@
             self._answer(transaction, Failed("failed"))
 
     def abandon(self, transaction: Transaction, why: AbandonReason) -> None:
-        """Final answer where the module gave none: the mildest that is true."""
+        """Final answer without a decision of the module: refused if a retry does no harm, else failed."""
         if transaction.open:
             self.tally(f"abandoned.{why.value}")
-            harmless = transaction.may_refuse
-            self._answer(transaction, Refused(self.default_retry_after) if harmless else Failed("failed"))
+            may_refuse = transaction.may_refuse
+            self._answer(transaction, Refused(self.default_retry_after) if may_refuse else Failed("failed"))
 
     def set_final_deadline(self, moment: float) -> None:
-        """The ingress ends at a time of the loop's clock: no deadline is later, nothing is opened then."""
+        """No deadline is later than this time of the loop's clock, and no request is opened after it."""
         self.final_deadline = moment
         for transaction in self.transactions.values():
             transaction.deadline = min(transaction.deadline, moment)
 
     def abandon_all(self) -> list[Transaction]:
-        """The ingress ends: whatever is open is answered now, as nobody will later. Returns what that was."""
+        """The process exits: answers every open transaction now, and returns them."""
         left = [transaction for transaction in self.transactions.values() if transaction.open]
         for transaction in left:
             self.abandon(transaction, AbandonReason.ENDING)
-        for transaction in left:  # only now: the module may take its time over each
+        for transaction in left:  # after all answers: the module may need some time for each
             self.decisions.transaction_gone(transaction)
         return left
 
-    # The next-hop side.
+    # Called by the next-hop side.
 
     def stream_started(self, branch: Branch, value: Any) -> bool:
-        """The first bytes of a long value have come; where they are the answer, nothing cuts it off any more.
+        """The first bytes of a long value arrived. If they become the answer, no timer cuts it off any more.
 
-        `value` goes to the client as the value that it is the beginning of. False where nobody waits for it.
+        `value` is passed to the client as the start of its answer. False if no client waits for it.
         """
         transaction = branch.transaction
         if branch.outcome is not None or not transaction.open:
@@ -464,7 +468,7 @@
         return True
 
     def branch_ended(self, branch: Branch, result: Result) -> None:
-        """Takes a branch's one outcome; the first good one is the client's answer."""
+        """Records the single outcome of a branch; the first OK becomes the client's answer."""
         if branch.outcome is not None:
             return
         transaction = branch.transaction
@@ -477,9 +481,9 @@
         if result.outcome is Outcome.OK and transaction.open:
             self._answer(transaction, Served(result.value))
         elif transaction.streaming is branch:
-            whole, ends = result.outcome is Outcome.OK, self.counts[transaction.request.class_name]
+            whole, counts = result.outcome is Outcome.OK, self.counts[transaction.request.class_name]
             self.tally("answer.served" if whole else "answer.cut")
-            ends.succeeded, ends.aborted = ends.succeeded + whole, ends.aborted + (not whole)
+            counts.succeeded, counts.aborted = counts.succeeded + whole, counts.aborted + (not whole)
             self._release(transaction)
         latency = (
             self.loop.now() if branch.first_byte_at is None else branch.first_byte_at
@@ -487,10 +491,10 @@
         self.decisions.branch_ended(branch, result, latency, not transaction.open)
         self._drop_if_done(transaction)
 
-    # Its own guards.
+    # Timers.
 
     def _branch_timed_out(self, branch: Branch) -> None:
-        """A command that was never written whole has not run: bytes decide."""
+        """A command that was not written completely can't have run, so it counts as a failed connection."""
         if branch.outcome is None:
             whole = self.next_hops.give_up(branch)
             self.branch_ended(branch, Result(Outcome.TIMEOUT if whole else Outcome.CONNECT_FAILED))
@@ -501,17 +505,17 @@
             self.abandon(transaction, AbandonReason.OVERDUE)
             self.decisions.transaction_gone(transaction)
 
-    def _answer(self, transaction: Transaction, final: FinalAnswer) -> None:
+    def _answer(self, transaction: Transaction, answer: FinalAnswer) -> None:
         self._close(transaction)
-        self.tally(ANSWER_COUNTERS[type(final)])
-        ends = self.counts[transaction.request.class_name]
-        if isinstance(final, Served):
-            ends.succeeded += 1
-        elif isinstance(final, Refused):
-            ends.declined += 1
+        self.tally(ANSWER_COUNTERS[type(answer)])
+        counts = self.counts[transaction.request.class_name]
+        if isinstance(answer, Served):
+            counts.succeeded += 1
+        elif isinstance(answer, Refused):
+            counts.declined += 1
         else:
-            ends.aborted += 1
-        transaction.reply(final)
+            counts.aborted += 1
+        transaction.reply(answer)
         self._drop_if_done(transaction)
 
     def _close(self, transaction: Transaction) -> None:
@@ -521,14 +525,14 @@
             transaction.deadline_timer.cancel()
 
     def _release(self, transaction: Transaction) -> None:
-        """It counts as open no more."""
+        """The transaction no longer counts as open, and its id may be used again."""
         transaction.streaming = None
         self.open_count -= 1
         self.open_idents.discard(transaction.request.ident)
 
     def _drop_if_done(self, transaction: Transaction) -> None:
-        """A transaction is kept until it is answered and its last branch has ended."""
+        """Keeps a transaction until it is answered and its last branch has ended."""
         if not transaction.open and not transaction.running:
             if self.transactions.pop(transaction.name, None) and transaction.request.release is not None:
                 transaction.request.release()
-            transaction.branches = []  # they refer back: no circle may wait for the collector
+            transaction.branches = []  # breaks the reference cycle: garbage collection is rare here
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,29 +1,29 @@
-"""What holds for all tests, and the seed of those with chance in them."""
+"""Settings for all tests, and the seed of randomized ones."""
 
 import pytest
 from hypothesis import settings
 
-# The same examples each time: a verdict that comes once in some hundred runs says nothing about a change. As
-# no other examples come in later runs, there are three times as many.
+# The same examples in each run: a failure that occurs once in some hundred runs says nothing about a change.
+# As later runs try no others, there are three times as many as by default.
 settings.register_profile("same", derandomize=True, max_examples=300, deadline=None)
 settings.load_profile("same")
 
-# The files whose tests take longest (up to 34, 24 and 7 s each, the rest under 6), begun first: a long test
-# begun last would keep one worker busy after the others have ended. `--maxschedchunk` in pyproject.toml
-# belongs to it: by default a worker is handed the neighbours of a long test as well, which are as long.
+# The files with the longest tests (up to 34, 24 and 7 s each, the rest under 6) start first: a long test that
+# starts last would keep one worker busy after the others have finished. This needs `--maxschedchunk` in
+# pyproject.toml: by default a worker also gets the neighbours of a long test, which are as long.
 LONGEST_FIRST = ("tests/test_power.py", "tests/test_fleet.py", "tests/test_counter_program.py")
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
     """Adds `--seed`."""
-    parser.addoption("--seed", type=int, default=0, help="the seed of tests that draw what they play")
+    parser.addoption("--seed", type=int, default=0, help="the seed of randomized tests")
 
 
 @pytest.fixture
 def seed(request: pytest.FixtureRequest) -> int:
-    """The seed of a test with chance in it; how to play it again is shown where it fails."""
+    """The seed of a randomized test; a failing test shows the command that reproduces it."""
     value = int(request.config.getoption("--seed"))
-    print(f"to play it again: python -m pytest '{request.node.nodeid}' --seed {value}")
+    print(f"to reproduce: python -m pytest '{request.node.nodeid}' --seed {value}")
     return value
 
 
@@ -33,5 +33,5 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Puts the longest tests first; otherwise the order stays."""
+    """Puts the longest tests first and keeps the order of the others."""
     items.sort(key=_start_rank)
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -1,4 +1,4 @@
-"""The driver, the peers, the route set and the log, each on its own."""
+"""Unit tests of the driver, the peers, the route set, the tally and the log."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 from tests.world import sealed
 
 
-class Played:
-    """A driver whose module says what the test wants."""
+class ScriptedDriver:
+    """A driver whose module returns the actions set by the test."""
 
     def __init__(self, gateways: int = 1) -> None:
         self.at = Recorder()
-        self.told: list[object] = []
-        self.probes: list[str] = []
+        self.sent: list[object] = []
+        self.closed_idle: list[str] = []
         settings = replace(read(config(), self.at.log.append).settings, gateways=gateways)
         self.driver = Driver(
             self.at.loop,
@@ -43,9 +43,9 @@
             7,
             self.at.exchange,
             probe=lambda hop, ended: ended(Result(Outcome.OK)),
-            close_idle=self.probes.append,
-            send_to_peer=lambda peer, content: self.told.append((peer, content)),
-            fetch_routes=lambda: self.told.append("fetch"),
+            close_idle=self.closed_idle.append,
+            send_to_peer=lambda peer, content: self.sent.append((peer, content)),
+            fetch_routes=lambda: self.sent.append("fetch"),
         )
         self.at.exchange.decisions = self.driver
         self.events: list[i.Event] = []
@@ -61,79 +61,79 @@
 
 
 @pytest.mark.parametrize(("kind", "final"), [("look", Refused(0.25)), ("change", Refused(0.25))])
-def test_a_fault_of_the_module_is_logged_and_its_transaction_answered(kind: str, final: object) -> None:
-    played = Played()
-    played.fault = i.RequestArrived
+def test_an_exception_of_the_module_is_logged_and_its_transaction_answered(kind: str, final: object) -> None:
+    scripted = ScriptedDriver()
+    scripted.fault = i.RequestArrived
     finals: list[object] = []
     request = Request(kind, "plain", "7", 5.0, 1.0, 1, 0, None)
-    played.at.exchange.open(request, played.at.loop.now(), finals.append)
+    scripted.at.exchange.open(request, scripted.at.loop.now(), finals.append)
     assert finals == [final]
-    assert "ZeroDivisionError" in played.at.log[0]
-    assert played.events[-1] == i.RequestGone("1")
-    played.fault = None
-    played.answers[i.RequestArrived] = [i.Fail("2")]
-    played.at.exchange.open(request, played.at.loop.now(), finals.append)
+    assert "ZeroDivisionError" in scripted.at.log[0]
+    assert scripted.events[-1] == i.RequestGone("1")
+    scripted.fault = None
+    scripted.answers[i.RequestArrived] = [i.Fail("2")]
+    scripted.at.exchange.open(request, scripted.at.loop.now(), finals.append)
     assert finals == [final, Failed("failed")]
-    played.at.close()
+    scripted.at.close()
 
 
-def test_a_garbled_datagram_is_no_word_of_an_ingress() -> None:
-    played = Played(gateways=3)
-    del played.driver.module.handle
-    began = played.at.loop.now()
-    played.driver.peer_message_received(1, b"garbled")
-    assert max(played.driver.peers_last_seen()) < began
-    played.driver.peer_message_received(1, sealed(b""))
-    assert sum(at >= began for at in played.driver.peers_last_seen()) == 1
-    played.at.close()
+def test_a_malformed_datagram_does_not_count_as_a_peer_message() -> None:
+    scripted = ScriptedDriver(gateways=3)
+    del scripted.driver.module.handle
+    began = scripted.at.loop.now()
+    scripted.driver.peer_message_received(1, b"garbled")
+    assert max(scripted.driver.peers_last_seen()) < began
+    scripted.driver.peer_message_received(1, sealed(b""))
+    assert sum(at >= began for at in scripted.driver.peers_last_seen()) == 1
+    scripted.at.close()
 
 
-def test_actions_are_carried_out_and_what_they_cause_waits_its_turn() -> None:
-    played = Played()
+def test_actions_are_carried_out_and_the_events_they_cause_are_queued() -> None:
+    scripted = ScriptedDriver()
     actions: list[i.Action] = [
         i.Probe("s-1"), i.Count(5, 1.0, 1.0), i.CloseIdle("s-1"), i.TellPeer(None, b"x"), i.FetchList(),
-        i.Log("text"), i.SetTimer(0.001, 9), i.Send("unheard", "s-1", None), i.Subscribe(True),
+        i.Log("text"), i.SetTimer(0.001, 9), i.Send("unknown", "s-1", None), i.Subscribe(True),
     ]  # fmt: skip
-    played.answers[i.Started] = actions
-    played.driver.start(None)
-    assert played.events[:2] == [
+    scripted.answers[i.Started] = actions
+    scripted.driver.start(None)
+    assert scripted.events[:2] == [
         i.Started(),
-        i.ProbeEnded("s-1", i.Outcome.OK, played.events[1].latency, ()),  # type: ignore[union-attr]
+        i.ProbeEnded("s-1", i.Outcome.OK, scripted.events[1].latency, ()),  # type: ignore[union-attr]
     ]
-    assert played.events[2] == i.CountAnswered(5, i.Outcome.CONNECT_FAILED, 0.0, 0.0)
-    assert played.probes == ["s-1"]
-    assert played.told == [(None, b"x"), "fetch"]
-    turn_until(played.at.loop, lambda: i.TimerFired(9) in played.events)
-    assert "module: text" in played.at.log
-    assert any("count 5 has no client" in line for line in played.at.log)
-    played.at.close()
+    assert scripted.events[2] == i.CountAnswered(5, i.Outcome.CONNECT_FAILED, 0.0, 0.0)
+    assert scripted.closed_idle == ["s-1"]
+    assert scripted.sent == [(None, b"x"), "fetch"]
+    turn_until(scripted.at.loop, lambda: i.TimerFired(9) in scripted.events)
+    assert "module: text" in scripted.at.log
+    assert any("count 5 has no client" in line for line in scripted.at.log)
+    scripted.at.close()
 
 
-def test_the_loops_own_lateness_counts_as_time_that_a_caller_has_waited() -> None:
+def test_the_latency_of_the_loop_counts_as_waiting_time_of_the_client() -> None:
     at = Recorder()
     reader, writer = socket.socketpair()
-    heard: list[float] = []
+    received: list[float] = []
 
     def wait() -> Coroutine[None]:
         yield IN
-        heard.append(at.loop.heard)
+        received.append(at.loop.heard)
 
     def work() -> None:
-        came.append(at.loop.now())
+        sent.append(at.loop.now())
         writer.send(b"x")
-        time.sleep(0.02)  # the loop is busy while the byte lies in the kernel
+        time.sleep(0.02)  # the loop is busy while the byte waits in the kernel
 
-    came: list[float] = []
+    sent: list[float] = []
     at.loop.spawn(reader.fileno(), wait())
     at.loop.call_later(0, work)
-    turn_until(at.loop, lambda: heard)
-    assert heard[0] <= came[0]
+    turn_until(at.loop, lambda: received)
+    assert received[0] <= sent[0]
     reader.close()
     writer.close()
     at.close()
 
 
-def test_strangers_and_oversize_datagrams_are_dropped() -> None:
+def test_datagrams_that_are_oversize_or_from_unknown_senders_are_dropped() -> None:
     at = Recorder()
     got: list[tuple[int, bytes]] = []
     with (
@@ -145,8 +145,8 @@
             sock.settimeout(20)
         known = (("127.0.0.1", 1), peer.getsockname())
         count: list[str] = []
-        told = lambda *m: got.append(m)  # noqa: E731
-        peers = Peers(at.loop, at.log.append, ("127.0.0.1", 0), known, None, 0, told, count.append)
+        receive = lambda *m: got.append(m)  # noqa: E731
+        peers = Peers(at.loop, at.log.append, ("127.0.0.1", 0), known, None, 0, receive, count.append)
         stranger.sendto(b"no", peers.address)
         peer.sendto(b"x" * 257, peers.address)
         peer.sendto(b"x" * 256, peers.address)
@@ -161,7 +161,7 @@
     at.close()
 
 
-def test_counted_lines_hold_what_came_since_the_last_and_the_busiest_next_hops() -> None:
+def test_tally_lines_hold_the_counts_since_the_last_line_and_the_busiest_next_hops() -> None:
     at = Recorder()
     tally = Tally(at.loop, at.log.append)
     tally("taken")
@@ -177,12 +177,12 @@
     at.close()
 
 
-def test_a_watch_that_falls_silent_is_given_up_after_one_missed_sign_of_life() -> None:
-    """One stayed open and mute for 8 s: next hops that drained meanwhile got requests past the grace."""
+def test_a_silent_watch_is_closed_after_one_missed_keepalive() -> None:
+    """One stayed open without data for 8 s: next hops that drained meanwhile got requests past the grace."""
     at, told = Recorder(), [0]
 
     def waits() -> float:
-        """How long the watch would wait from now on."""
+        """Seconds until the longest pending timeout of the watch."""
         return max(when for when, _, timer in at.loop.timers if timer.call is not None) - at.loop.now()
 
     with listener() as agent:
@@ -193,28 +193,28 @@
         sock = agent.accept()[0]
         turn_until(at.loop, lambda: select.select([sock], [], [], 0)[0])
         read_until(sock, b"\r\n\r\n")
-        assert waits() <= 1.5  # an agent that is there answers at once
+        assert waits() <= 1.5  # a working agent answers at once
         line = b'{"revision": 8, "complete": true, "members": []}\n'
         sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(line), line))
         routes.timing.patience = routes.timing.turned_away = 4.0
         turn_until(at.loop, lambda: told[-1] == 8)
-        assert (routes.timing.patience, routes.timing.turned_away) == (1.0, 0.0)  # it is there again
-        assert 2.0 < waits() <= 3.0  # a sign of life is due every 2 s
+        assert (routes.timing.patience, routes.timing.turned_away) == (1.0, 0.0)  # reset by an answer
+        assert 2.0 < waits() <= 3.0  # a keepalive is due every 2 s
         turn_until(at.loop, lambda: any("end routes silent" in line for line in at.log))
-        assert routes.timing.patience == 2.0  # the next is waited for longer, it may stand in a line
+        assert routes.timing.patience == 2.0  # longer for the next one, which may be queued
         sock.close()
     routes.close()
     at.close()
 
 
-def test_a_discovery_that_turns_away_is_asked_rarely_and_one_that_is_slow_waited_for() -> None:
-    """Twenty-four ingresses asked 600 times in 26 s: calls in line were given up and repeated."""
+def test_discovery_is_asked_less_often_if_it_refuses_and_waited_for_longer_if_it_is_slow() -> None:
+    """Twenty-four ingresses made 600 calls in 26 s: queued calls timed out and were repeated."""
     at = Recorder()
     with listener() as agent:
         routes = Routes(at.loop, at.log.append, agent.getsockname(), (), 7, lambda r: None, Random(1))
         waits: list[float] = []
 
-        def turned_away() -> None:
+        def refused() -> None:
             routes.connect()
             sock = agent.accept()[0]
             turn_until(at.loop, lambda: bool(select.select([sock], [], [], 0)[0]))
@@ -227,18 +227,18 @@
             sock.close()
 
         for _ in range(6):
-            turned_away()
+            refused()
         assert 0.4 < waits[0] <= 1.0
-        # up to 8 s until a change counted as told 6 s after discovery had it, also after a refused call
+        # A change counts as known 6 s after discovery has it, even after a refused call: 8 s were too long.
         assert all(2.5 < wait <= 4.0 for wait in waits[3:])
         routes.timing.patience = LONGEST_HEAD_LIMIT
-        routes.move(agent.getsockname())  # another one starts afresh
+        routes.move(agent.getsockname())  # another agent starts with the initial timeouts
         assert (routes.timing.patience, routes.timing.turned_away) == (1.0, 0.0)
     routes.close()
     at.close()
 
 
-def test_route_sets_keep_what_can_be_read() -> None:
+def test_route_sets_keep_the_members_that_can_be_parsed() -> None:
     log: list[str] = []
     good = {"id": "s", "host_port": "127.0.0.1:1", "locality": "a", "phase": "SERVING", "up_since_ms": 5000}
     bad = [3, {}, good | {"phase": "ODD"}, good | {"host_port": "x"}, good | {"size": 0}, good | {"id": 3}]
@@ -251,12 +251,12 @@
             read_routes(raw, (), log.append)
 
 
-def test_a_locality_is_one_of_the_settings_zones() -> None:
+def test_a_locality_maps_to_a_zone_of_the_settings() -> None:
     zones = ("room-a", "room-b", "hall-b")
     assert [zone_of(text, zones) for text in ("room-b", "a", "b", "c")] == ["room-b", "room-a", "b", "c"]
 
 
-def test_a_log_that_nobody_reads_never_blocks() -> None:
+def test_a_log_without_a_reader_never_blocks() -> None:
     reader, writer = os.pipe()
     log = Log(writer)
     for _ in range(2 * MAX_LINES):
@@ -276,23 +276,23 @@
     os.close(writer)
 
 
-def test_a_delay_counts_from_the_time_that_the_module_was_told() -> None:
-    """Held up meanwhile, the module's timer came after the exchange's guard, which answered in its place."""
-    played = Played()
-    held_up, told = 0.05, played.handle
+def test_a_delay_counts_from_when_the_module_handled_the_event() -> None:
+    """After a pause the module's timer fired later than the exchange's own, which answered in its place."""
+    scripted = ScriptedDriver()
+    pause_seconds, respond = 0.05, scripted.handle
 
     def handle(now: float, event: i.Event) -> list[i.Action]:
-        time.sleep(held_up)
-        return told(now, event)
+        time.sleep(pause_seconds)
+        return respond(now, event)
 
-    played.driver.module.handle = handle  # type: ignore[method-assign]
-    played.answers[i.RequestArrived] = [i.SetTimer(0.25, 7)]
+    scripted.driver.module.handle = handle  # type: ignore[method-assign]
+    scripted.answers[i.RequestArrived] = [i.SetTimer(0.25, 7)]
     request = Request("look", "plain", "7", 5.0, 1.0, 1, 0, None)
-    opened = played.at.exchange.open(request, played.at.loop.now(), lambda final: None)
-    due = next(when for when, _, timer in played.at.loop.timers if timer.args == (7,))
-    arrived = next(event for event in played.events if isinstance(event, i.RequestArrived))
+    opened = scripted.at.exchange.open(request, scripted.at.loop.now(), lambda final: None)
+    due = next(when for when, _, timer in scripted.at.loop.timers if timer.args == (7,))
+    arrived = next(event for event in scripted.events if isinstance(event, i.RequestArrived))
     assert due - 0.25 == pytest.approx(opened.deadline - arrived.time_left, abs=1e-6)
-    played.at.close()
+    scripted.at.close()
 
 
 HOUR = 3600.0
@@ -302,77 +302,77 @@
     ("age", "off_at_start", "off_now", "expected"),
     [
         (10.0, 0.0, 0.0, 10.0),
-        (10.0, HOUR, 0.0, 10.0),  # the clock was wrong at the start, and is right now
+        (10.0, HOUR, 0.0, 10.0),  # the clock was wrong at the start and is right now
         (10.0, -HOUR, 0.0, 10.0),
-        (10.0, 0.0, HOUR, 10.0),  # or the other way round
+        (10.0, 0.0, HOUR, 10.0),  # the reverse
         (10.0, 0.0, -HOUR, 10.0),
         (10.0, 0.0, 5.0, 10.0),
-        (10.0, 0.0, -5.0, 5.0),  # as young as either says: a cold backend is never taken for a warm one
+        (10.0, 0.0, -5.0, 5.0),  # the younger age: a cold backend is never taken for a warm one
         (10.0, -HOUR, -2 * HOUR, 0.0),  # neither can be right
         (86400.0, 0.0, -HOUR, 86400.0 - HOUR),
     ],
 )
-def test_a_backend_s_age_survives_steps_of_the_wall_clock(
+def test_the_age_of_a_backend_survives_steps_of_the_wall_clock(
     age: float, off_at_start: float, off_now: float, expected: float
 ) -> None:
-    true = 1_000_000.0  # Unix time of the moment in which discovery tells of it
+    true = 1_000_000.0  # Unix time at which discovery reports it
     now, wall = true + off_at_start, true + off_now
     starts = StartTimes()
     started = starts.start_time("s-1", true - age, now, wall)
     assert now - started == pytest.approx(expected)
     assert (
         starts.start_time("s-1", true - age, now + 7.0, wall + 7.0) == started
-    )  # told again: the same start
+    )  # reported again: the same start
     assert starts.start_time("s-1", true + 6.0, now + 7.0, wall + 7.0) != started
     starts.keep_only(set())
     assert starts.known == {}
 
 
-def test_the_module_is_shown_a_start_that_no_step_has_moved(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_module_gets_a_start_time_unaffected_by_clock_steps(monkeypatch: pytest.MonkeyPatch) -> None:
     wall = time.time
-    told = wall() - 10.0
+    reported = wall() - 10.0
     with monkeypatch.context() as patch:
         patch.setattr(time, "time", lambda: wall() + HOUR)
-        played = Played()
-    route = Route("s-1", ("127.0.0.1", 1), "z1", "std", 0, Phase.SERVING, 1.0, told + 1.0)
-    played.driver.routes_updated(RouteSet(1, True, (route,)))
+        scripted = ScriptedDriver()
+    route = Route("s-1", ("127.0.0.1", 1), "z1", "std", 0, Phase.SERVING, 1.0, reported + 1.0)
+    scripted.driver.routes_updated(RouteSet(1, True, (route,)))
     gone = Route("s-1", ("127.0.0.1", 1), "z1", "std", 0, Phase.GONE, 1.0, None)
-    listed = played.events[-1]
+    listed = scripted.events[-1]
     assert isinstance(listed, i.BackendsListed)
     started = listed.entries[0].started
     assert started is not None
-    age = played.at.loop.now() + played.driver.clock_offset - started
+    age = scripted.at.loop.now() + scripted.driver.clock_offset - started
     assert age == pytest.approx(9.0, abs=1.0)
-    played.driver.routes_updated(RouteSet(2, False, (gone,)))
-    assert played.driver.start_times.known == {}
-    played.at.close()
+    scripted.driver.routes_updated(RouteSet(2, False, (gone,)))
+    assert scripted.driver.start_times.known == {}
+    scripted.at.close()
 
 
 @pytest.mark.parametrize("step", [3600.0, -3600.0, 0.0])
-def test_what_a_process_hands_on_holds_in_one_that_started_behind_a_step_of_the_wall_clock(
+def test_state_handed_over_stays_valid_if_the_wall_clock_was_stepped_between_the_starts(
     step: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A newer process took spent windows for empty, or for full for an hour, by the step of the clock.
+    """A newer process took spent quota windows for unused, or for full for an hour.
 
-    What happens: the wall clock is stepped between the starts of two processes of one ingress, and the newer
-    one takes over. Why: each module runs by the monotonic clock and an offset taken at its start, and times
-    were handed on as they were. What showed it: this test; open since incident 32, not seen in a play.
+    This happened if the wall clock was stepped between the starts of two processes of one ingress: each
+    module runs on the monotonic clock plus an offset taken at its own start, and times were handed over
+    unconverted (incident 32).
     """
-    older = Played()
+    older = ScriptedDriver()
     module = older.driver.module
     spent = module.quota_of(b"12345", next(iter(module.plans.values())), 0, 1)
     spent.at, spent.own = older.at.loop.now() + older.driver.clock_offset, spent.plan.burst
     began = older.at.loop.now()
-    told = json.loads(json.dumps(older.driver.export_state()))
+    state = json.loads(json.dumps(older.driver.export_state()))
     wall = time.time
     monkeypatch.setattr(time, "time", lambda: wall() + step)
-    newer = Played()
-    newer.driver.import_state(told)
+    newer = ScriptedDriver()
+    newer.driver.import_state(state)
     module = newer.driver.module
     module.now = newer.at.loop.now() + newer.driver.clock_offset
-    taken_over = module.quotas[b"12345"]
-    module._drain(taken_over)
+    imported = module.quotas[b"12345"]
+    module._drain(imported)
     drained = spent.plan.rate * (newer.at.loop.now() - began)
-    assert taken_over.own == pytest.approx(spent.plan.burst - drained, abs=0.1)
+    assert imported.own == pytest.approx(spent.plan.burst - drained, abs=0.1)
     older.at.close()
     newer.at.close()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -36,7 +36,7 @@
 from standflow.upgrade.files import MAX_FILE_BYTES, StateFiles, next_generation, pack, unpack
 from standflow.upgrade.handover import HEARTBEAT_SECONDS, Handover, HandoverCallbacks
 from standflow.upgrade.roles import LIVENESS_SECONDS, STATE_TIMEOUT_SECONDS, ProcessStatus, Role, Stage
-from tests.test_driver import Played
+from tests.test_driver import ScriptedDriver
 from tests.test_ops import PING, VALUE, ask, with_ops
 from tests.wire import LIMIT, Program, command, config, member, program, read_until, turn_until
 from tests.world import Pair, backend, listed, request, sends, started
@@ -321,8 +321,8 @@
 
 def test_what_one_of_the_two_is_told_of_the_others_use_is_not_told_back() -> None:
     """The newer one's use goes to the older one too; an echo would close the quota for both."""
-    played = [Played(), Played()]
-    old, new = (one.driver for one in played)
+    scripted = [ScriptedDriver(), ScriptedDriver()]
+    old, new = (one.driver for one in scripted)
 
     def ask(driver: Driver, name: str) -> None:
         event = request(name, class_name="look", plan="plain")
@@ -343,7 +343,7 @@
                     driver.add([*row[:4], more])
     (own,), (other,) = old.module.quotas.values(), new.module.quotas.values()
     assert own.counts[0] == other.counts[0] == 3 * SCALE
-    for one in played:
+    for one in scripted:
         one.at.loop.epoll.close()
 
 
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -1,4 +1,4 @@
-"""A configuration, sockets and a program that the network tests share."""
+"""Configuration, sockets and program runner shared by the network tests."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from standflow.net.loop import Loop
 from tests.test_adapter import INFO, ROOT
 
-LIMIT = 20.0  # seconds after which a condition counts as never met; no verdict hangs on less
+LIMIT = 20.0  # seconds after which a condition counts as never met; no test depends on a shorter time
 
 
 def config(**changes: Any) -> dict[str, Any]:
-    """A whole configuration for one ingress on its own."""
+    """A complete configuration for a single ingress."""
     settings = json.loads(json.dumps(INFO)) | {"Balancers": 1, "Zones": ["room-z1", "room-z2"]}
     settings["Caps"] |= {"IdleCloseUs": 15000000, "MaxOpen": 100}
     change = settings["Classes"][0] | {"Name": "change", "Effect": "non_idempotent"}
@@ -41,7 +41,7 @@
 
 
 def with_deadline(raw: dict[str, Any], longest: float) -> dict[str, Any]:
-    """The same with another longest deadline, in seconds: the unsafe class's; the safe one has half of it."""
+    """Sets the longest deadline in seconds: that of the unsafe class; the safe one gets half of it."""
     look, change = raw["settings"]["Classes"]
     microseconds = round(longest * 1e6)
     change |= {"DeadlineUs": microseconds, "AimUs": microseconds // 3}
@@ -66,7 +66,7 @@
 
 
 def turn_until(loop: Loop, met: Callable[[], object]) -> None:
-    """Runs rounds of the loop until something is so."""
+    """Runs the loop until a condition is met."""
     end = time.monotonic() + LIMIT
     while not met():
         assert time.monotonic() < end
@@ -75,7 +75,7 @@
 
 
 def read_until(sock: socket.socket, end: bytes) -> bytes:
-    """What comes up to an ending."""
+    """Reads until the data ends with `end`."""
     data = b""
     while not data.endswith(end):
         more = sock.recv(65536)
@@ -85,13 +85,13 @@
 
 
 class Program:
-    """The running program and what it has logged."""
+    """A running program and its log so far."""
 
     def __init__(self, process: subprocess.Popen[bytes]) -> None:
         self.process, self.log = process, ""
 
     def logged(self, pattern: str) -> re.Match[str]:
-        """Waits for a line of the log."""
+        """Waits until the log matches a pattern."""
         end = time.monotonic() + LIMIT
         assert self.process.stderr is not None
         while not (match := re.search(pattern, self.log)):
@@ -121,10 +121,10 @@
     module: str = "standflow",
     environment: Mapping[str, str] | None = None,
 ) -> Iterator[Program]:
-    """Starts the program on a configuration, and ends it whatever happens.
+    """Starts the program with a configuration, and kills it at the end.
 
-    `passed`: a listening socket that it inherits; then processes of the same folder meet in it.
-    `module`: what `python -m` is to start.
+    `passed`: a listening socket that it inherits; processes started in the same folder then hand over to each
+    other. `module`: what `python -m` runs.
     """
     path = folder / "config.json"
     handed = {} if passed is None else {"EDGE_PASSED_SOCKET": f"{passed.fileno()}", "TMPDIR": f"{folder}"}
