--- a/standflow/ops/__init__.py
+++ b/standflow/ops/__init__.py
@@ -1,1 +1,1 @@
-"""What operators ask of a running ingress: calls over HTTP, figures, next hops taken out by hand."""
+"""The operators' interface of a running ingress: HTTP calls, figures, and next hops excluded by hand."""
--- a/standflow/ops/calls.py
+++ b/standflow/ops/calls.py
@@ -1,4 +1,4 @@
-"""What each operators' call does and answers: a method and a target in, a status and a text out. No I/O."""
+"""The operators' calls: maps a method and a target to a status and a text. No I/O."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from typing import Protocol
 from urllib.parse import unquote_to_bytes
 
-MAX_ID_BYTES = 256  # bytes
+MAX_ID_BYTES = 256
 
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """An HTTP status and a text of one line, or the figures."""
+    """An HTTP status and a text: one line, or the figures."""
 
     status: int
     text: str
-    allow: str = ""  # the method that the path takes, where another came
+    allow: str = ""  # for 405: the method that the path accepts
 
 
 class Operators(Protocol):
-    """What the calls are carried out by; each returns an empty text, or why not."""
+    """Carries out the calls. Each but `telemetry` returns an empty text, or why it can't be done."""
 
     def ready(self) -> str:
         """Empty once this process can serve."""
@@ -29,16 +29,16 @@
         """The figures."""
 
     def exclude(self, hop: str) -> str:
-        """Takes a next hop out."""
+        """Takes a next hop out of service."""
 
     def include(self, hop: str) -> str:
-        """Puts it back."""
+        """Puts it back into service."""
 
     def evacuate(self) -> str:
-        """Empties the ingress."""
+        """Moves clients away from this ingress."""
 
     def rejoin(self) -> str:
-        """Back to work."""
+        """Ends the evacuation."""
 
 
 class Calls:
@@ -58,30 +58,30 @@
         }
 
     def answer(self, method: str, target: str) -> Answer:
-        """Carries a call out; what is asked of no known path, or by another method, changes nothing."""
+        """Carries out a call. An unknown path or another method changes nothing."""
         path = target.partition("?")[0]
         if path in self.fixed:
-            wanted, call = self.fixed[path]
-            return call() if method == wanted else _not_allowed(wanted)
-        for prefix, named in self.by_hop.items():
+            allowed, call = self.fixed[path]
+            return call() if method == allowed else _not_allowed(allowed)
+        for prefix, hop_call in self.by_hop.items():
             if path.startswith(prefix):
                 if method != "POST":
                     return _not_allowed("POST")
                 hop = _hop(path[len(prefix) :])
-                return Answer(404, "no such id\n") if hop is None else _result(named(hop), 404)
+                return Answer(404, "no such id\n") if hop is None else _result(hop_call(hop), 404)
         return Answer(404, "no such call\n")
 
 
-def _result(fault: str, status: int) -> Answer:
-    return Answer(status, fault + "\n") if fault else Answer(200, "yes\n")
+def _result(error: str, status: int) -> Answer:
+    return Answer(status, error + "\n") if error else Answer(200, "yes\n")
 
 
-def _not_allowed(wanted: str) -> Answer:
-    return Answer(405, f"the call takes {wanted}\n", allow=wanted)
+def _not_allowed(allowed: str) -> Answer:
+    return Answer(405, f"the call takes {allowed}\n", allow=allowed)
 
 
 def _hop(text: str) -> str | None:
-    """An id as the path has it, percent-encoded where it must be; None for what can be none."""
+    """A percent-decoded id of a path; None if it can't be the id of a next hop."""
     raw = unquote_to_bytes(text)
     if not 0 < len(raw) <= MAX_ID_BYTES:
         return None
--- a/standflow/ops/figures.py
+++ b/standflow/ops/figures.py
@@ -1,4 +1,4 @@
-"""The figures that operators fetch: typed values to text. No I/O."""
+"""The figures for operators, formatted as text. No I/O."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Counts:
-    """Counts since the start, but for `outstanding`, which is of now."""
+    """Counts since the start, except `outstanding`, which is the current number of open requests."""
 
-    by_class: Mapping[str, TransactionCounts]  # by class
+    by_class: Mapping[str, TransactionCounts]
     forwards: int
     outstanding: int
     sighup_applied: int
@@ -21,7 +21,7 @@
 
 
 class Fleet(Protocol):
-    """The view of the fleet, of now; `sent`, `taken` and `dropped` are datagrams since the start."""
+    """The current membership; `sent`, `taken` and `dropped` are datagrams since the start."""
 
     @property
     def present(self) -> int: ...
@@ -38,7 +38,7 @@
 
 
 class Recovery(Protocol):
-    """What the store gave back, and what it costs since the start."""
+    """What was restored from the store, and the cost of writing it since the start."""
 
     @property
     def stage(self) -> str: ...
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Figures:
-    """All that is shown; what stands beside the counts is of now."""
+    """All figures; those beside the counts are current values."""
 
     counts: Counts
     discovered: int
@@ -66,11 +66,11 @@
 
 
 def text(figures: Figures) -> str:
-    """One figure a line, `name=value`."""
+    """Formats one figure a line as `name=value`."""
     lines, counts = [], figures.counts
-    for name, ends in sorted(counts.by_class.items()):
+    for name, class_counts in sorted(counts.by_class.items()):
         for key in ("succeeded", "declined", "aborted"):
-            lines.append(f"results.{name}.{key}={getattr(ends, key)}")
+            lines.append(f"results.{name}.{key}={getattr(class_counts, key)}")
     for key, value in (
         ("forwards", counts.forwards),
         ("outstanding", counts.outstanding),
--- a/standflow/ops/operations.py
+++ b/standflow/ops/operations.py
@@ -1,4 +1,4 @@
-"""Carries the operators' calls out on the parts of one ingress."""
+"""Carries out the operators' calls on the components of one ingress."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 @dataclass(slots=True)
 class OperationsCallbacks:
-    """What the operators' calls ask of the ingress."""
+    """What the operators' calls need from the ingress."""
 
     ready: Callable[[], bool]
     stopping: Callable[[], bool]
     counts: Callable[[], Counts]
-    ejected: Callable[[], set[str]]  # next hops, by the module's choice
+    ejected: Callable[[], set[str]]  # next hops ejected by outlier detection
     evacuated: Callable[[], bool]
-    evacuate: Callable[[bool, float], None]  # emptied or not, since a Unix time
-    apply_routes: Callable[[RouteSet], None]  # a change of the route set, for the ingress to go by
-    fleet: Callable[[], Fleet | None]  # None where no view is kept
-    recovery: Callable[[], Recovery | None]  # None where no store is kept
-    state_changed: Callable[[], None]  # a word was said: it is kept for another process of this ingress
+    evacuate: Callable[[bool, float], None]  # on or off, and the Unix time of the call
+    apply_routes: Callable[[RouteSet], None]  # a change of the route set
+    fleet: Callable[[], Fleet | None]  # None if no membership is kept
+    recovery: Callable[[], Recovery | None]  # None if no store is kept
+    state_changed: Callable[[], None]  # an operator changed something that other processes must know
 
 
 class Operations:
-    """See calls.Operators."""
+    """Implements calls.Operators."""
 
     def __init__(
         self,
@@ -39,9 +39,9 @@
         log: Callable[[str], None],
         address: tuple[str, int],
         name: str,
-        parts: OperationsCallbacks,
+        callbacks: OperationsCallbacks,
     ) -> None:
-        self.log, self.callbacks = log, parts
+        self.log, self.callbacks = log, callbacks
         self.overlay = Overlay()
         self.server = Server(loop, log, address, Calls(self).answer)
         log(f"ops {name} on {self.server.address[0]}:{self.server.address[1]}")
@@ -57,11 +57,11 @@
     def telemetry(self) -> str:
         """See Operators."""
         overlay = self.overlay
-        avoided = self.callbacks.ejected() & overlay.routes.keys()
+        ejected = self.callbacks.ejected() & overlay.routes.keys()
         figures = Figures(
             counts=self.callbacks.counts(),
             discovered=len(overlay.routes),
-            ejected=len(overlay.listed_excluded() | avoided),
+            ejected=len(overlay.listed_excluded() | ejected),
             fleet=self.callbacks.fleet(),
             recovery=self.callbacks.recovery(),
         )
@@ -93,21 +93,21 @@
         self.callbacks.state_changed()
         return ""
 
-    def _set_excluded(self, hop: str, out: bool) -> str:
-        was = hop in self.overlay.excluded
-        fault = self.overlay.set_excluded(hop, out, time.time())
-        if not fault and was != out:
-            self.log(f"ops: next hop {hop} {'out' if out else 'back'} by hand")
+    def _set_excluded(self, hop: str, excluded: bool) -> str:
+        was_excluded = hop in self.overlay.excluded
+        error = self.overlay.set_excluded(hop, excluded, time.time())
+        if not error and was_excluded != excluded:
+            self.log(f"ops: next hop {hop} {'out' if excluded else 'back'} by hand")
             self.override_changed(hop)
             self.callbacks.state_changed()
-        return fault
+        return error
 
     def override_changed(self, hop: str) -> None:
-        """A word on a next hop was taken in, said here or to another process: the ingress goes by it."""
+        """Applies an override that was set here or received from another process."""
         change = self.overlay.change(hop)
         if change is not None:
             self.callbacks.apply_routes(change)
 
     def close(self) -> None:
-        """Ends the listener."""
+        """Closes the listener."""
         self.server.close()
--- a/standflow/ops/overlay.py
+++ b/standflow/ops/overlay.py
@@ -1,7 +1,7 @@
-"""Next hops taken out by hand, laid over the route set as told. No I/O; times are Unix time in seconds.
+"""Next hops excluded by hand, laid over the discovered route set. No I/O; times are Unix time in seconds.
 
-What discovery tells is kept as it is, so that putting a next hop back shows what is true then. One that is
-out and would serve is shown as draining: the rule on drains does the rest.
+The discovered route set is kept unchanged, so that including a next hop again shows its current state. An
+excluded next hop that is serving is shown as draining, and is drained like any other.
 """
 
 from __future__ import annotations
@@ -11,40 +11,40 @@
 
 from standflow.exchange import Phase, Route, RouteSet
 
-MAX_EXCLUDED = 1000  # next hops out at once; one more is refused
-MAX_KNOWN_IDS = 20_000  # ids remembered as listed at some time, the latest
+MAX_EXCLUDED = 1000  # next hops excluded at once; another one is refused
+MAX_KNOWN_IDS = 20_000  # ids remembered as listed at some time, the most recent ones
 
 
 @dataclass(slots=True)
 class Override:
-    """The last call about a next hop: out or back, and when. The later of two words holds."""
+    """The last exclude or include call for a next hop. The later of two overrides holds."""
 
     excluded: bool
     at: float
-    excluded_at: float = 0.0  # when it went out last; 0: never
+    excluded_at: float = 0.0  # of the last exclusion; 0: never
 
 
 class Overlay:
-    """The route set as told, and what operators said of its next hops."""
+    """The discovered route set and the operators' overrides of its next hops."""
 
     def __init__(self) -> None:
         self.routes: dict[str, Route] = {}
         self.known_ids: OrderedDict[str, None] = OrderedDict()
-        self.overrides: OrderedDict[str, Override] = OrderedDict()  # the one said last is last
-        # Back from being out, and nothing has told of the restart: when it went out, when it came back.
+        self.overrides: OrderedDict[str, Override] = OrderedDict()  # the most recent one last
+        # Included again, and discovery has not reported the restart yet: times of exclusion and inclusion.
         self.included_again: dict[str, tuple[float, float]] = {}
 
     @property
     def excluded(self) -> set[str]:
-        """The ids that are out, listed or not."""
-        return {hop for hop, word in self.overrides.items() if word.excluded}
+        """The excluded ids, listed or not."""
+        return {hop for hop, override in self.overrides.items() if override.excluded}
 
     def listed_excluded(self) -> set[str]:
-        """Those of them that are listed."""
+        """The excluded ids that are listed."""
         return self.excluded & self.routes.keys()
 
     def apply(self, routes: RouteSet) -> RouteSet:
-        """Takes in what discovery says; returns what the ingress is to go by."""
+        """Records a route set from discovery; returns it with the overrides applied."""
         if routes.complete:
             self.routes = {}
         for route in routes.routes:
@@ -55,58 +55,62 @@
                 self._remember_id(route.hop)
         if routes.complete:
             self.included_again = {
-                hop: when for hop, when in self.included_again.items() if hop in self.routes
+                hop: times for hop, times in self.included_again.items() if hop in self.routes
             }
         return replace(routes, routes=tuple(self._overridden(route) for route in routes.routes))
 
-    def set_excluded(self, hop: str, out: bool, now: float) -> str:
-        """A call, out or back; the fault is returned where it can't be done. `change` shows what follows."""
-        word = self.overrides.get(hop)
-        if hop not in self.known_ids and word is None:
+    def set_excluded(self, hop: str, excluded: bool, now: float) -> str:
+        """Excludes or includes a next hop; returns why it can't be done, or nothing. See `change`."""
+        before = self.overrides.get(hop)
+        if hop not in self.known_ids and before is None:
             return f"{hop} was never listed"
-        if out and not (word is not None and word.excluded) and len(self.excluded) >= MAX_EXCLUDED:
+        if excluded and not (before is not None and before.excluded) and len(self.excluded) >= MAX_EXCLUDED:
             return f"{MAX_EXCLUDED} next hops are out already"
-        if word is None or word.excluded != out:
-            # the clock may have been put back since the word before, which this one must follow
-            now = now if word is None else max(now, word.at + 0.001)
-            went = now if out else (0.0 if word is None else word.excluded_at)
-            self.merge(hop, Override(out, now, went))
+        if before is None or before.excluded != excluded:
+            # The clock may have been set back since the previous override, which this one must follow.
+            now = now if before is None else max(now, before.at + 0.001)
+            excluded_at = now if excluded else (0.0 if before is None else before.excluded_at)
+            self.merge(hop, Override(excluded, now, excluded_at))
         return ""
 
-    def merge(self, hop: str, word: Override) -> bool:
-        """Takes a word in, also one that another process was told; false where a later one is known."""
+    def merge(self, hop: str, override: Override) -> bool:
+        """Takes in an override, possibly one from another process; true if the next hop changes by it.
+
+        It is ignored if a later one is known.
+        """
         before = self.overrides.get(hop)
-        if before is not None and before.at >= word.at:
+        if before is not None and before.at >= override.at:
             return False
         self.included_again.pop(hop, None)
-        if word.excluded_at and not word.excluded:
-            self.included_again[hop] = (word.excluded_at, word.at)
-        self.overrides[hop] = word
+        if override.excluded_at and not override.excluded:
+            self.included_again[hop] = (override.excluded_at, override.at)
+        self.overrides[hop] = override
         self.overrides.move_to_end(hop)
-        while len(self.overrides) > 2 * MAX_EXCLUDED:  # words back are of no more use after a while
-            back = next((name for name, one in self.overrides.items() if not one.excluded), None)
-            if back is None:
+        # Drops the oldest inclusions, which have no effect after a while.
+        while len(self.overrides) > 2 * MAX_EXCLUDED:
+            included = next((name for name, one in self.overrides.items() if not one.excluded), None)
+            if included is None:
                 break
-            del self.overrides[back]
-        return before is None or before.excluded != word.excluded
+            del self.overrides[included]
+        return before is None or before.excluded != override.excluded
 
     def change(self, hop: str) -> RouteSet | None:
-        """What the ingress is to be told after a word on a next hop; None where it isn't listed."""
+        """The change of the route set after an override; None if the next hop isn't listed."""
         route = self.routes.get(hop)
         return None if route is None else RouteSet(0, False, (self._overridden(route),))
 
     def _overridden(self, route: Route) -> Route:
-        word = self.overrides.get(route.hop)
-        if word is not None and word.excluded and route.phase is Phase.SERVING:
+        override = self.overrides.get(route.hop)
+        if override is not None and override.excluded and route.phase is Phase.SERVING:
             return replace(route, phase=Phase.DRAINING)
-        went, came = self.included_again.get(route.hop, (0.0, 0.0))
-        if not came or route.phase is not Phase.SERVING:
+        excluded_at, included_at = self.included_again.get(route.hop, (0.0, 0.0))
+        if not included_at or route.phase is not Phase.SERVING:
             return route
-        if route.up_since is not None and route.up_since >= went:
-            del self.included_again[route.hop]  # discovery tells of the restart itself
+        if route.up_since is not None and route.up_since >= excluded_at:
+            del self.included_again[route.hop]  # discovery has reported the restart
             return route
-        # It was restarted while it was out, and discovery's word of that is late: cold is the safe reading.
-        return replace(route, up_since=came)
+        # It may have been restarted while excluded, which discovery reports late: assume that it is cold.
+        return replace(route, up_since=included_at)
 
     def _remember_id(self, hop: str) -> None:
         self.known_ids[hop] = None
--- a/standflow/ops/server.py
+++ b/standflow/ops/server.py
@@ -1,8 +1,8 @@
-"""The operators' listener: HTTP/1.1 through h11, one call a connection. It decides nothing.
+"""The operators' listener: HTTP/1.1 through h11, one call per connection. It makes no decisions.
 
-Its descriptors are served first in each round of the loop, and its calls are few and small, so that an answer
-does not wait behind the callers' work. A connection without a whole call holds its place for a few seconds at
-most, and gives way, the oldest first, to one that comes after it.
+Its descriptors are served first in each iteration of the loop, and its calls are few and small, so that an
+answer does not wait behind client traffic. A connection without a complete call is closed after a few
+seconds, or earlier, the oldest first, to make room for a new one.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 from standflow.ops.calls import Answer
 
 MAX_CALLS = 32  # connections at once
-DESCRIPTORS = MAX_CALLS + 2  # with the listener, and one that is accepted before another ends
+DESCRIPTORS = MAX_CALLS + 2  # with the listener, and one that is accepted before another is closed
 BACKLOG = 64  # connections that may wait to be accepted
-MAX_ACCEPTS = 16  # in a round
+MAX_ACCEPTS = 16  # in one iteration of the loop
 ACCEPT_PAUSE = 0.1  # seconds without accepting when no descriptor is left
-CALL_TIMEOUT = 5.0  # seconds in which a call has come whole
-LINGER = 0.5  # seconds for the answer to arrive before the connection is closed over what was not read
-MAX_HEAD_BYTES = 8192  # bytes
-MAX_BODY_BYTES = 65536  # bytes; no call needs any
+CALL_TIMEOUT = 5.0  # seconds for a complete call to arrive, and for its answer to be written
+LINGER = 0.5  # seconds for the client to close first, so that unread bytes don't reset the answer
+MAX_HEAD_BYTES = 8192
+MAX_BODY_BYTES = 65536  # no call needs a body
 READ_SIZE = 16384
 
 
 class Server:
-    """Accepts connections and answers each one call."""
+    """Accepts connections and answers one call on each."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         address: tuple[str, int],
         answer: Callable[[str, str], Answer],
     ) -> None:
-        """`answer`: a method and a target in, what to say out. OSError where the address can't be had."""
+        """`answer` maps a method and a target to an answer. OSError if the address can't be bound."""
         self.loop, self.log, self.answer = loop, log, answer
         self.accepting = True
         self.calls: OrderedDict[Task, None] = OrderedDict()  # the oldest first
@@ -51,7 +51,7 @@
         self.listener = loop.spawn(self.sock.fileno(), self._listen())
 
     def close(self) -> None:
-        """Ends all of it at once."""
+        """Closes the listener and all connections."""
         for task in [self.listener, *self.calls]:
             self.loop.end(task)
 
@@ -85,7 +85,7 @@
             return False
         except OSError as error:
             self.log(f"ops: accept: {error}")
-            if not self.calls:  # the listener stays ready: without a pause the loop would spin on it
+            if not self.calls:  # the listener stays readable: without a pause the loop would spin
                 self.accepting = False
                 self.loop.call_later(ACCEPT_PAUSE, self._resume_accepting)
                 return False
@@ -107,17 +107,17 @@
 
 
 class Call:
-    """One connection and the one call on it."""
+    """One connection and its call."""
 
     def __init__(self, server: Server, sock: socket.socket) -> None:
         self.server, self.sock = server, sock
         self.task: Task | None = None
         self.closed = False
         self.accepted_at = server.loop.now()
-        self.description = "-"
+        self.description = "-"  # for the log: method, target and status
 
     def run(self) -> Coroutine[None]:
-        """Its whole life; it leaves one line in the log."""
+        """Serves the connection and writes one line to the log when it is closed."""
         number, reason = self.sock.fileno(), "cap"
         try:
             reason = yield from self._serve()
@@ -164,7 +164,7 @@
                 return "peer_closed"
 
     def _read(self, end: float) -> Coroutine[bytes | None]:
-        """What has come, empty at the end of it; None where nothing comes in time."""
+        """The bytes that have arrived, empty at the end of the stream; None if nothing arrives in time."""
         loop = self.server.loop
         while True:
             with contextlib.suppress(BlockingIOError):
@@ -195,8 +195,8 @@
                 if (yield from loop.wait(OUT, max(0.0, end - loop.now()))) == TICK:
                     return "slow_reader"
         self.description += f" {answer.status}"
-        # Closing over unread bytes would take the answer back.
-        with contextlib.suppress(OSError):  # it may be gone already
+        # Closing a socket with unread bytes sends a reset, which could discard the answer at the client.
+        with contextlib.suppress(OSError):  # the client may have closed already
             self.sock.shutdown(socket.SHUT_WR)
             end = loop.now() + LINGER
             while (yield from self._read(end)):
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,4 +1,4 @@
-"""The operators' calls, the overlay of next hops out by hand, and an ingress that is emptied."""
+"""The operators' calls, the overlay of next hops excluded by hand, and the evacuation of an ingress."""
 
 from __future__ import annotations
 
@@ -68,22 +68,22 @@
     assert read_until(caller, b"l\r\n").startswith(b"$5")
 
 
-class Staff:
-    """Says yes to all and remembers what was asked."""
+class RecordingOperators:
+    """Accepts every call and records it."""
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
+        self.calls: list[str] = []
 
     def __getattr__(self, name: str) -> Any:
         def call(*args: str) -> str:
-            self.asked.append(" ".join((name, *args)))
+            self.calls.append(" ".join((name, *args)))
             return ""
 
         return call
 
 
 @pytest.mark.parametrize(
-    ("method", "target", "status", "asked"),
+    ("method", "target", "status", "expected"),
     [
         ("GET", "/api/ready", 200, "ready"),
         ("POST", "/api/exclude/s-1", 200, "exclude s-1"),
@@ -98,10 +98,12 @@
         ("GET", "/", 404, None),
     ],
 )
-def test_each_call_by_its_method_and_path(method: str, target: str, status: int, asked: str | None) -> None:
-    staff = Staff()
-    assert Calls(staff).answer(method, target).status == status
-    assert staff.asked == ([] if asked is None else [asked])
+def test_each_call_is_selected_by_method_and_path(
+    method: str, target: str, status: int, expected: str | None
+) -> None:
+    operators = RecordingOperators()
+    assert Calls(operators).answer(method, target).status == status
+    assert operators.calls == ([] if expected is None else [expected])
 
 
 def test_the_figures_text_has_one_figure_a_line() -> None:
@@ -127,7 +129,7 @@
 
 
 @given(STEPS)
-def test_what_is_shown_is_the_truth_of_now_with_what_is_out_laid_over(steps: list[Any]) -> None:
+def test_the_overlay_shows_the_current_route_set_with_excluded_next_hops_draining(steps: list[Any]) -> None:
     overlay, truth, out, ever = Overlay(), dict[str, Phase](), set[str](), set[str]()
     seen: dict[str, Phase] = {}
 
@@ -160,26 +162,26 @@
         assert overlay.listed_excluded() == out & truth.keys()
 
 
-def test_back_by_hand_is_cold_from_then_until_discovery_tells_of_the_restart() -> None:
+def test_a_next_hop_included_again_counts_as_cold_until_discovery_reports_its_restart() -> None:
     overlay = Overlay()
     overlay.apply(RouteSet(1, True, (route("a", up=5.0),)))
     assert overlay.set_excluded("a", True, 100.0) == ""
-    assert overlay.set_excluded("a", True, 101.0) == ""  # twice is once
+    assert overlay.set_excluded("a", True, 101.0) == ""  # a repeated call changes nothing
     overlay.set_excluded("a", False, 110.0)
     late = RouteSet(2, True, (route("a", up=5.0),))
     assert overlay.apply(late).routes[0].up_since == 110.0
     assert overlay.apply(replace(late, routes=(route("a", up=104.0),))).routes[0].up_since == 104.0
-    assert overlay.apply(late).routes[0].up_since == 5.0  # its word holds from then on
+    assert overlay.apply(late).routes[0].up_since == 5.0  # from then on discovery is followed
 
 
-def test_no_more_than_so_many_are_out() -> None:
+def test_the_number_of_excluded_next_hops_is_limited() -> None:
     overlay = Overlay()
     overlay.apply(RouteSet(1, True, tuple(route(f"s{n}") for n in range(MAX_EXCLUDED + 1))))
     faults = [overlay.set_excluded(f"s{n}", True, float(n)) for n in range(MAX_EXCLUDED + 1)]
     assert [n for n, fault in enumerate(faults) if fault] == [MAX_EXCLUDED]
 
 
-def test_a_next_hop_out_by_hand_gets_nothing_and_is_used_again_when_back(tmp_path: Path) -> None:
+def test_an_excluded_next_hop_gets_no_requests_until_it_is_included_again(tmp_path: Path) -> None:
     with listener() as hop:
         known = {"revision": 1, "complete": True, "members": [member(hop.getsockname())]}
         with program(tmp_path, with_ops(known=known)) as running:
@@ -190,7 +192,7 @@
             read_until(first, b"first=0\r\n")
             assert ask(running, "POST", "/api/exclude/s-2") == (404, "s-2 was never listed\n")
             assert ask(running, "POST", "/api/exclude/s-1") == (200, "yes\n")
-            first.sendall(VALUE)  # what is open may finish
+            first.sendall(VALUE)  # an open request may finish
             assert read_until(caller, b"l\r\n").startswith(b"$5")
             assert first.recv(10) == b""  # and the connection is not kept
             caller.sendall(command("aa02"))
@@ -200,8 +202,8 @@
             assert figures["results.look.succeeded"] == figures["results.look.declined"] == 1
             assert ask(running, "POST", "/api/include/s-1")[0] == 200
             hop.settimeout(0.05)
-            for turn in range(200):  # it is cold: credit for it grows from nought
-                caller.sendall(command(f"ab{turn}"))
+            for number in range(200):  # it is cold: its credit grows from zero
+                caller.sendall(command(f"ab{number}"))
                 try:
                     again = hop.accept()[0]
                     break
@@ -214,7 +216,7 @@
             assert shown(running)["ejected"] == 0
 
 
-def test_calls_are_answered_while_many_connections_hold_half_a_call(tmp_path: Path) -> None:
+def test_calls_are_answered_while_many_connections_hold_a_partial_call(tmp_path: Path) -> None:
     with program(tmp_path, with_ops()) as running:
         running.logged("ready n0")
         held = [dial(running) for _ in range(2 * server.MAX_CALLS)]
@@ -235,7 +237,7 @@
             sock.close()
 
 
-def test_an_emptied_ingress_says_no_serves_what_comes_and_ends_each_leg(tmp_path: Path) -> None:
+def test_an_evacuated_ingress_fails_health_checks_and_closes_connections_once_served(tmp_path: Path) -> None:
     with listener() as hop:
         known = {"revision": 1, "complete": True, "members": [member(hop.getsockname())]}
         with program(tmp_path, with_ops(known=known)) as running:
@@ -253,7 +255,7 @@
             late.sendall(PING)
             assert read_until(late, b"\r\n") == b"-ERR evacuated\r\n"
             assert late.recv(10) == b""
-            busy.sendall(command("aa02"))  # taken while its connection has something open
+            busy.sendall(command("aa02"))  # accepted while its connection has an open request
             second = hop.accept()[0]
             second.settimeout(LIMIT)
             read_until(second, b"first=0\r\n")
@@ -262,7 +264,7 @@
             assert read_until(busy, b"l\r\n$5\r\nva\r\nl\r\n")
             assert busy.recv(10) == b""
             silent = running.call()
-            assert silent.recv(10) == b""  # whoever asks nothing is not kept
+            assert silent.recv(10) == b""  # a connection without a command is closed
             assert ask(running, "GET", "/api/ready")[0] == 200
             assert ask(running, "POST", "/api/rejoin") == (200, "yes\n")
             back = running.call()
@@ -272,7 +274,7 @@
             running.logged("(?:end caller drained(?:.|\n)*){4}")
 
 
-def test_a_connection_that_asks_on_and_on_is_ended_between_two_commands(tmp_path: Path) -> None:
+def test_a_connection_that_keeps_sending_is_closed_between_two_commands(tmp_path: Path) -> None:
     with listener() as hop:
         known = {"revision": 1, "complete": True, "members": [member(hop.getsockname())]}
         with program(tmp_path, with_ops(known=known)) as running:
@@ -286,7 +288,7 @@
                     at_hop.settimeout(LIMIT)
                 read_until(at_hop, b"first=0\r\n")
                 following = command(f"a{answered + 1}")
-                caller.sendall(following[:20])  # before each answer the next command has begun
+                caller.sendall(following[:20])  # the next command starts before each answer
                 at_hop.sendall(VALUE)
                 assert read_until(caller, b"l\r\n") == b"$5\r\nva\r\nl\r\n"
                 answered += 1
@@ -296,13 +298,13 @@
             assert caller.recv(10) == b""
             assert answered > 1
             assert running.logged(rf"end caller drained answered={answered} open=0")
-            late = running.call()  # after that one command is all that a connection is given
+            late = running.call()  # from then on a connection is served a single command
             late.sendall(PING + PING[:9])
             assert read_until(late, b"\r\n") == b"-ERR evacuated\r\n"
             assert late.recv(10) == b""
 
 
-def test_the_end_of_a_drained_connection_takes_no_answer_back(tmp_path: Path) -> None:
+def test_closing_a_drained_connection_loses_no_answer(tmp_path: Path) -> None:
     with listener() as hop:
         known = {"revision": 1, "complete": True, "members": [member(hop.getsockname())]}
         with program(tmp_path, with_ops(known=known)) as running:
@@ -312,7 +314,7 @@
             read_until(at_hop, b"first=0\r\n")
             ask(running, "POST", "/api/evacuate")
             time.sleep(PRESS + 0.2)
-            caller.sendall(command("a1"))  # too late to be served, and owed an answer all the same
+            caller.sendall(command("a1"))  # too late to be served, but it must be answered
             at_hop.sendall(VALUE)
             answers = b""
             while more := caller.recv(65536):
@@ -333,10 +335,10 @@
             read_until(at_hop, b"first=0\r\n")
             for call in ("evacuate", "rejoin", "rejoin"):
                 assert ask(running, "POST", f"/api/{call}")[0] == 200
-            time.sleep(PRESS + 0.2)  # the drain that was taken back presses nobody
+            time.sleep(PRESS + 0.2)  # the cancelled drain closes no connection
             at_hop.sendall(VALUE)
             assert read_until(busy, b"l\r\n").startswith(b"$5")
-            time.sleep(2 * REST)  # a connection rests after an answer
+            time.sleep(2 * REST)  # a connection is quarantined after an answer
             busy.sendall(command("aa02"))
             read_until(at_hop, b"first=0\r\n")
             assert ask(running, "POST", "/api/evacuate")[0] == 200
@@ -350,7 +352,7 @@
             assert running.process.wait(LIMIT) == 0
 
 
-def test_the_operators_events_come_first_in_a_round_however_many_wait() -> None:
+def test_the_operators_events_are_handled_first_however_many_wait() -> None:
     loop, order, pairs = Loop(print), list[int](), [socket.socketpair() for _ in range(60)]
 
     def wait(number: int, sock: socket.socket) -> Coroutine[None]:
@@ -370,7 +372,7 @@
     loop.epoll.close()
 
 
-def test_without_a_descriptor_left_the_listener_pauses_and_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_a_free_descriptor_the_listener_pauses_and_resumes(monkeypatch: pytest.MonkeyPatch) -> None:
     loop, log = Loop(print), list[str]()
     listening = server.Server(loop, log.append, ("127.0.0.1", 0), lambda method, target: Answer(200, "yes\n"))
     with socket.create_connection(listening.address, LIMIT) as caller, monkeypatch.context() as patched:
@@ -391,12 +393,12 @@
     loop.epoll.close()
 
 
-def test_without_a_place_for_them_nothing_of_the_calls_is_imported() -> None:
+def test_without_an_address_for_them_the_operators_calls_are_not_imported() -> None:
     code = "import sys, standflow.__main__; print([m for m in sys.modules if 'standflow.ops' in m])"
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, check=True).stdout == b"[]\n"
 
 
-def test_a_place_that_is_no_address_is_named(tmp_path: Path) -> None:
+def test_an_invalid_address_is_reported_with_its_key(tmp_path: Path) -> None:
     raw = with_ops() | {"ops": "nowhere"}
     with program(tmp_path, json.dumps(raw)) as running:
         assert running.process.wait(LIMIT) == 2
