--- a/standflow/upgrade/__init__.py
+++ b/standflow/upgrade/__init__.py
@@ -1,1 +1,1 @@
-"""Two processes of one ingress for a while: what they tell each other, and who does what meanwhile."""
+"""The handover between two processes of one ingress: the state they exchange and the role of each."""
--- a/standflow/upgrade/roles.py
+++ b/standflow/upgrade/roles.py
@@ -1,11 +1,12 @@
-"""Which process of an ingress does what. No I/O; times are of one clock, in seconds.
+"""The role of each process of an ingress. No I/O; times are of one clock, in seconds.
 
-A generation is the moment at which a process began, in nanoseconds: the higher one is the newer. A process
-lives while its file is not older than LIVENESS_SECONDS. The stages of one:
+A generation is the start time of a process in nanoseconds: the higher one is the newer. A process is alive
+while its file is not older than LIVENESS_SECONDS. The stages of a process:
 
-ASKING   it can serve, and waits for what the one before it knows
-SERVING  it serves and speaks on the ring
-HANDED   it has told what it knows to a newer one: it serves what it has, and is silent on the ring
+STARTING it can't serve yet
+ASKING   it can serve, and waits for the state of its predecessor
+SERVING  it serves, and sends to peers on the ring
+HANDED   it has handed its state to a newer process: it serves its open connections, and sends to no peer
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
 from enum import Enum
 from typing import Any
 
-LIVENESS_SECONDS = 1.5  # seconds after which a process that writes nothing counts as dead
-STATE_TIMEOUT_SECONDS = 0.8  # seconds for which a new process waits for what the one before it knows
+LIVENESS_SECONDS = 1.5  # after which a process that writes nothing counts as dead
+STATE_TIMEOUT_SECONDS = 0.8  # for which a new process waits for the state of its predecessor
 
 
 class Stage(Enum):
@@ -30,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProcessStatus:
-    """What another process's file says of its part."""
+    """The status of another process, from its file."""
 
     generation: int
     at: float
@@ -39,13 +40,13 @@
 
 
 def read(generation: int, raw: Mapping[str, Any]) -> ProcessStatus:
-    """A file's part of it; ValueError, KeyError or TypeError where it says none."""
+    """Parses the status in a record; ValueError, KeyError or TypeError if it has none."""
     return ProcessStatus(generation, float(raw["at"]), Stage(raw["stage"]), int(raw["handed_to"]))
 
 
 @dataclass(slots=True)
 class Role:
-    """The part of this process."""
+    """The role of this process."""
 
     generation: int
     stage: Stage = Stage.STARTING
@@ -53,47 +54,51 @@
     asked_at: float = 0.0
 
     def ask(self, now: float) -> None:
-        """It can serve: whoever came before it is asked for what it knows."""
+        """This process can serve: it asks its predecessor for its state."""
         self.stage, self.asked_at = Stage.ASKING, now
 
-    def predecessor(self, seen: list[ProcessStatus], now: float) -> ProcessStatus | None:
-        """The newest live process before this one."""
+    def predecessor(self, others: list[ProcessStatus], now: float) -> ProcessStatus | None:
+        """The newest live process that is older than this one."""
         return max(
-            (s for s in seen if s.generation < self.generation and _alive(s, now)),
-            key=lambda s: s.generation,
+            (one for one in others if one.generation < self.generation and _alive(one, now)),
+            key=lambda one: one.generation,
             default=None,
         )
 
-    def successor(self, seen: list[ProcessStatus], now: float) -> ProcessStatus | None:
-        """The newest live process after this one that can serve."""
-        able = (Stage.ASKING, Stage.SERVING, Stage.HANDED)
-        newer = (s for s in seen if s.generation > self.generation and _alive(s, now) and s.stage in able)
-        return max(newer, key=lambda s: s.generation, default=None)
+    def successor(self, others: list[ProcessStatus], now: float) -> ProcessStatus | None:
+        """The newest live process that is newer than this one and can serve."""
+        ready = (Stage.ASKING, Stage.SERVING, Stage.HANDED)
+        newer = (
+            one
+            for one in others
+            if one.generation > self.generation and _alive(one, now) and one.stage in ready
+        )
+        return max(newer, key=lambda one: one.generation, default=None)
 
-    def step(self, seen: list[ProcessStatus], now: float) -> str:
-        """What is to be done now: `take`, `begin`, `hand`, `resume` or nothing."""
+    def step(self, others: list[ProcessStatus], now: float) -> str:
+        """The action that is due: `take`, `begin`, `hand`, `resume` or none."""
         if self.stage is Stage.ASKING:
-            before = self.predecessor(seen, now)
-            if before is not None and before.handed_to == self.generation:
+            predecessor = self.predecessor(others, now)
+            if predecessor is not None and predecessor.handed_to == self.generation:
                 self.stage = Stage.SERVING
                 return "take"
             if (
-                before is None
-                or before.stage is Stage.STARTING
+                predecessor is None
+                or predecessor.stage is Stage.STARTING
                 or now - self.asked_at > STATE_TIMEOUT_SECONDS
             ):
                 self.stage = Stage.SERVING
                 return "begin"
         elif self.stage in (Stage.SERVING, Stage.HANDED):
-            after = self.successor(seen, now)
-            if after is not None and after.generation != self.handed_to:
-                self.stage, self.handed_to = Stage.HANDED, after.generation
+            successor = self.successor(others, now)
+            if successor is not None and successor.generation != self.handed_to:
+                self.stage, self.handed_to = Stage.HANDED, successor.generation
                 return "hand"
-            if after is None and self.stage is Stage.HANDED:
+            if successor is None and self.stage is Stage.HANDED:
                 self.stage, self.handed_to = Stage.SERVING, 0
                 return "resume"
         return ""
 
 
-def _alive(seen: ProcessStatus, now: float) -> bool:
-    return now - seen.at < LIVENESS_SECONDS
+def _alive(process: ProcessStatus, now: float) -> bool:
+    return now - process.at < LIVENESS_SECONDS
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -272,7 +272,7 @@
             other.logged(r"fleet: place 0: present -> suspected")
             started[0].signal(signal.SIGCONT)
             started.append(Ingress(tmp_path / "0.conf", (door.fileno(),), environment))
-            started[1].logged("took over what the process before knows")
+            started[1].logged("took over the state of the previous process")
             other.logged(r"fleet: place 0: .* -> present in a new life")
             assert started[0].end() == 0  # it is silent, and takes nobody's place with it
             wait_for(lambda: shown(other, "fleet.present") == 2)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Two processes of one ingress: what they hand on, who does what, and that nobody is turned away."""
+"""Handover between two processes of one ingress: state files, roles, state, and no failed requests."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 # Files.
 
 
-def test_a_file_that_is_torn_foreign_or_huge_is_passed_over_and_the_rest_read(tmp_path: Path) -> None:
+def test_torn_foreign_and_oversized_files_are_ignored_and_the_others_read(tmp_path: Path) -> None:
     log: list[str] = []
     one, other = (
         StateFiles(f"{tmp_path}", "n0", 5, log.append),
@@ -64,7 +64,7 @@
     Path(f"{stem}10.state").write_bytes(b"x" * (MAX_FILE_BYTES + 1))
     Path(f"{stem}x.state").write_bytes(whole)
     (tmp_path / "standflow-n1-5.state").write_bytes(pack({"generation": 5}))
-    for _ in range(3):  # what is wrong at two looks is said once
+    for _ in range(3):  # a file that is invalid in two reads is logged once
         assert list(other.others()) == [5]
     assert sorted(line.split(": ")[2] for line in log) == ["another process's", "too large", "torn"]
     for number in range(upgrade_files.MAX_FILES + 5):
@@ -72,7 +72,7 @@
     assert len(other.others()) <= upgrade_files.MAX_FILES
 
 
-def test_a_file_is_written_in_place_and_what_is_half_written_waits_for_the_next_look(
+def test_a_file_is_written_in_place_and_a_partial_write_keeps_the_previous_record(
     tmp_path: Path,
 ) -> None:
     log: list[str] = []
@@ -83,7 +83,7 @@
     one.write({"generation": 5, "words": ["long"] * 50})
     path, first = one.path, one.path.stat().st_ino
     assert other.others()[5]["words"] == ["long"] * 50
-    one.write({"generation": 5, "words": ["b"]})  # shorter, and within the same moment
+    one.write({"generation": 5, "words": ["b"]})  # shorter, and possibly with the same mtime
     assert other.others()[5]["words"] == ["b"]
     assert path.stat().st_ino == first
     whole = pack({"generation": 5, "words": ["new"]})
@@ -97,10 +97,10 @@
 
 
 @pytest.mark.parametrize("fails", ["pwrite", "replace", "open"])
-def test_a_file_that_could_not_be_written_is_written_the_next_time(
+def test_a_failed_write_is_made_up_for_by_the_next_one(
     fails: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It went on to write the half that was never put in its place."""
+    """After a failure the writer continued with the temporary file that never replaced its own."""
     log: list[str] = []
     one, other = (
         StateFiles(f"{tmp_path}", "n0", 5, log.append),
@@ -115,9 +115,9 @@
         one.write({"generation": 5, "words": ["lost"]})
     assert len(log) == 1
     assert other.others() == {}
-    for word in ("a", "b"):
-        one.write({"generation": 5, "words": [word]})
-        assert other.others()[5]["words"] == [word]
+    for text in ("a", "b"):
+        one.write({"generation": 5, "words": [text]})
+        assert other.others()[5]["words"] == [text]
     with monkeypatch.context() as patch:
         patch.setattr(os, fails, failing)
         one.write({"generation": 5, "words": ["c"]})
@@ -125,22 +125,22 @@
     assert other.others()[5]["words"] == ["d"]
 
 
-def test_a_file_is_whole_however_short_the_writes_are(
+def test_a_file_is_complete_however_short_the_writes_are(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     one, other = (StateFiles(f"{tmp_path}", "n0", number, lambda line: None) for number in (5, 7))
     pwrite = os.pwrite
     monkeypatch.setattr(os, "pwrite", lambda fd, data, at: pwrite(fd, data[:7], at))
-    for word in ("a", "b"):
-        one.write({"generation": 5, "words": [word]})
-        assert other.others()[5]["words"] == [word]
+    for text in ("a", "b"):
+        one.write({"generation": 5, "words": [text]})
+        assert other.others()[5]["words"] == [text]
 
 
-def test_a_process_that_begins_after_a_step_back_of_the_clock_is_the_newer_one(tmp_path: Path) -> None:
+def test_a_process_started_after_the_clock_was_set_back_is_the_newer_one(tmp_path: Path) -> None:
     now, hour = time.time_ns(), 3600 * 10**9
     assert next_generation(f"{tmp_path}", "n0", now) == now
     (tmp_path / f"standflow-n0-{now + hour}.state").write_bytes(b"")
-    (tmp_path / "standflow-n0-99999999999999999999.state").write_bytes(b"")  # nobody's
+    (tmp_path / "standflow-n0-99999999999999999999.state").write_bytes(b"")  # not a valid generation
     (tmp_path / f"standflow-n1-{now + 2 * hour}.state").write_bytes(b"")
     assert next_generation(f"{tmp_path}", "n0", now) == now + hour + 1
     assert next_generation(f"{tmp_path}/nowhere", "n0", now) == now
@@ -153,8 +153,8 @@
 
 
 @given(st.lists(STEPS, min_size=12, max_size=40))
-def test_whoever_dies_when_one_live_process_that_can_serve_speaks(steps: list[tuple[str, int]]) -> None:
-    """The model: processes as files in one folder, each looked at after every step until nothing changes."""
+def test_only_the_newest_ready_process_serves_whichever_one_dies(steps: list[tuple[str, int]]) -> None:
+    """Model: processes as files in one folder, all stepped after each event until nothing changes."""
     now, roles, dead = 100.0, dict[int, Role](), set[int]()
 
     def settle() -> None:
@@ -190,7 +190,7 @@
         assert [g for g in able if roles[g].stage is Stage.SERVING] == able[-1:]
 
 
-def test_a_new_process_waits_for_the_one_before_it_but_not_for_ever() -> None:
+def test_a_new_process_waits_for_its_predecessor_but_not_forever() -> None:
     role = Role(2)
     role.ask(10.0)
     before = ProcessStatus(1, 10.0, Stage.SERVING, 0)
@@ -198,7 +198,7 @@
     assert role.step([ProcessStatus(1, 10.0, Stage.SERVING, 0)], 10.2 + STATE_TIMEOUT_SECONDS) == "begin"
 
 
-def test_the_old_one_is_silent_before_the_new_one_begins_and_speaks_again_when_that_is_gone(
+def test_the_old_process_stops_sending_before_the_new_one_begins_and_resumes_when_that_dies(
     tmp_path: Path,
 ) -> None:
     said: list[str] = []
@@ -207,9 +207,9 @@
     part("old")
     new = part("new")
     turn_until(loop, lambda: "new adds 2" in said and "old adds 3" in said)
-    new.closed = True  # it writes no more
+    new.closed = True  # it stops writing
     turn_until(loop, lambda: "old speaks True" in said)
-    said.remove("old adds 3")  # at any moment after the new one has begun
+    said.remove("old adds 3")  # at any time after the new one has begun
     assert [line for line in said if line[:4] in ("old ", "new ")] == [
         *("old begins", "old speaks False", "new lists old", "new absorbs old", "new begins", "new adds 2"),
         *("old resumes", "old speaks True"),
@@ -218,7 +218,7 @@
 
 
 @pytest.mark.parametrize("step", [-3600.0, -5.0, 5.0, 3600.0])
-def test_steps_of_the_wall_clock_make_no_process_wait_and_none_dead(
+def test_steps_of_the_wall_clock_delay_no_process_and_declare_none_dead(
     step: float, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     said: list[str] = []
@@ -228,22 +228,20 @@
     turn_until(loop, lambda: "old begins" in said)
     monkeypatch.setattr(time, "time", lambda: wall() + step)
     beats = old.written_at
-    turn_until(
-        loop, lambda: old.written_at > beats + 2 * HEARTBEAT_SECONDS
-    )  # it goes on to say that it lives
+    turn_until(loop, lambda: old.written_at > beats + 2 * HEARTBEAT_SECONDS)  # its heartbeats continue
     new = part("new")
     turn_until(loop, lambda: "new adds 2" in said)
     monkeypatch.setattr(time, "time", wall)
     end = time.monotonic() + LIVENESS_SECONDS + 0.5
     turn_until(loop, lambda: time.monotonic() > end)
-    assert "old resumes" not in said  # the new one lives
+    assert "old resumes" not in said  # the new one is alive
     assert said.count("new begins") == 1
     new.closed = True
     turn_until(loop, lambda: "old speaks True" in said)
     loop.epoll.close()
 
 
-def test_a_new_process_waits_no_longer_for_one_that_is_stuck_whatever_the_wall_clock_says(
+def test_a_new_process_waits_no_longer_for_a_stuck_one_after_a_clock_step(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     said: list[str] = []
@@ -265,7 +263,7 @@
 
 
 def handover_part(loop: Loop, said: list[str], folder: Path, name: str) -> Handover:
-    """One process's end of a handover, which notes what it is told to do."""
+    """One process of a handover that records the callbacks it gets."""
 
     def note(*what: Any) -> Any:
         said.append(" ".join([name, *map(str, what)]))
@@ -290,10 +288,10 @@
     return handover
 
 
-# What the module hands on.
+# State of the module.
 
 
-def test_use_is_counted_once_by_the_others_whoever_of_the_two_let_it_through() -> None:
+def test_use_counts_once_at_the_peers_whichever_process_admitted_it() -> None:
     pair = Pair()
     pair.epochs(4)
     for n in range(4):
@@ -308,19 +306,19 @@
     key = next(iter(old.quotas))
     assert new.quotas[key].own == pytest.approx(old.quotas[key].own)
     assert new.quotas[key].others == pytest.approx(old.quotas[key].others)
-    actions = old.handle(pair.now, request("late", ring_size=2))  # the old one ends what it has
+    actions = old.handle(pair.now, request("late", ring_size=2))  # the old one finishes its open requests
     assert sends(actions)
     (row,) = handover.spent(old, before)
     handover.add(new, pair.now, *row)
     pair.epochs(3)
     own = new.quotas[key]
     seen = pair.live[1].quotas[key]
-    assert own.counts[0] == old.quotas[key].counts[0] == seen.counts[0]  # no lap too many, none too few
+    assert own.counts[0] == old.quotas[key].counts[0] == seen.counts[0]  # nothing counted twice, nothing lost
     assert seen.others == pytest.approx(own.own, abs=0.3)
 
 
-def test_what_one_of_the_two_is_told_of_the_others_use_is_not_told_back() -> None:
-    """The newer one's use goes to the older one too; an echo would close the quota for both."""
+def test_use_reported_by_the_other_process_is_not_reported_back() -> None:
+    """The newer one's use is added in the older one too; echoed back, it would use up the quota of both."""
     scripted = [ScriptedDriver(), ScriptedDriver()]
     old, new = (one.driver for one in scripted)
 
@@ -347,7 +345,7 @@
         one.at.loop.epoll.close()
 
 
-def test_suspicions_and_credit_at_cold_next_hops_go_with_it_and_come_back_when_the_new_one_is_gone() -> None:
+def test_ejections_and_cold_credit_are_handed_over_and_returned_when_the_new_process_dies() -> None:
     old, new = started(), started()
     for gateway in (old, new):
         cold = i.BackendEntry("b1", "a", "std", 0, i.Availability.ACTIVE, 1.0, 5.0)
@@ -367,7 +365,7 @@
 
 
 @given(st.integers(0, 7), st.one_of(st.none(), st.integers(-3, 99), st.text(max_size=5), st.lists(st.none())))
-def test_what_is_unsound_in_a_row_changes_nothing_or_is_told(place: int, value: Any) -> None:
+def test_a_malformed_row_changes_nothing_or_raises(place: int, value: Any) -> None:
     gateway = started(gateways=4, number=1)
     row = ["0011223344", "basic", 1, 2, 0.0, 1.0, 1.0, 0.0, [[0, 4]]]
     row[place] = value
@@ -380,10 +378,10 @@
         assert quota.place < quota.size <= 4
 
 
-# The kernel, and descriptors.
+# Sockets and descriptors.
 
 
-def test_datagrams_reach_the_process_that_bound_last_and_the_other_again_after_it() -> None:
+def test_datagrams_reach_the_process_that_bound_last_and_then_the_other_again() -> None:
     got: list[tuple[str, bytes]] = []
     loop = Loop(lambda line: None)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
@@ -405,7 +403,7 @@
 
 
 @pytest.mark.parametrize("number", ["x", "99", "0"])
-def test_a_descriptor_that_is_no_listener_is_named(tmp_path: Path, number: str) -> None:
+def test_a_passed_descriptor_that_is_no_listener_is_reported(tmp_path: Path, number: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config()))
     env = os.environ | {"EDGE_CONFIG": f"{path}", "EDGE_PASSED_SOCKET": number}
@@ -418,11 +416,11 @@
 
 
 class Load:
-    """Callers that ask on new and kept connections all the while; whoever got no whole answer is noted."""
+    """Clients that send on new and reused connections; missing or partial answers are recorded."""
 
     def __init__(self, address: tuple[str, int], callers: int = 4) -> None:
         self.address, self.stopped = address, False
-        self.answered, self.unheard = [0] * callers, list[str]()
+        self.answered, self.failures = [0] * callers, list[str]()
         self.threads = [threading.Thread(target=self._ask, args=(n,)) for n in range(callers)]
         self.begun = False
 
@@ -433,31 +431,31 @@
                 thread.start()
 
     def _ask(self, number: int) -> None:
-        chance, turn, sock = random.Random(number), 0, None
+        rng, serial, sock = random.Random(number), 0, None
         while not self.stopped:
-            turn += 1
+            serial += 1
             fresh = sock is None
             try:
                 if sock is None:
                     sock = socket.create_connection(self.address, LIMIT)
                     sock.settimeout(LIMIT)
-                sock.sendall(command(f"{number:x}a{turn:x}"))
+                sock.sendall(command(f"{number:x}a{serial:x}"))
                 got = sock.recv(100)
                 if got.endswith(b"\r\n"):
                     self.answered[number] += 1
-                elif fresh or got:  # a kept one may be closed between two commands: it is asked anew
-                    self.unheard.append(f"{number}: {got!r}")
+                elif fresh or got:  # a reused one may be closed between two commands
+                    self.failures.append(f"{number}: {got!r}")
             except OSError as error:
                 if fresh:
-                    self.unheard.append(f"{number}: {error!r}")
+                    self.failures.append(f"{number}: {error!r}")
                 got = b""
-            if (not got or chance.random() < 0.5) and sock is not None:
+            if (not got or rng.random() < 0.5) and sock is not None:
                 sock.close()
                 sock = None
             time.sleep(0.002)
 
     def until_answered_again(self, seconds: float) -> None:
-        """Goes on for so long, and until each caller has had a further answer, however late that is."""
+        """Waits for this long, and until each client has had another answer, however late."""
         before, end = list(self.answered), time.monotonic() + LIMIT
         time.sleep(seconds)
         while not all(after > once for after, once in zip(self.answered, before, strict=True)):
@@ -471,7 +469,7 @@
 
 
 def box(sock: socket.socket) -> None:
-    """A next hop that answers whatever comes."""
+    """A next hop that answers every command."""
     try:
         while data := sock.recv(65536):
             sock.sendall(VALUE * data.count(b"first=0\r\n"))
@@ -481,49 +479,49 @@
 
 @contextmanager
 def upgrading(folder: Path, **changes: Any) -> Iterator[tuple[Any, socket.socket, Load, Acceptor]]:
-    """A way to start one process after another, with callers all the while."""
+    """Yields a function that starts processes on one listening socket, under load."""
     box_at = Acceptor(box)
     members = [member(box_at.address), member(box_at.address) | {"id": "s-2"}]
     raw = with_ops(known={"revision": 1, "complete": True, "members": members}, **changes)
-    with socket.create_server(("127.0.0.1", 0), backlog=512) as door, ExitStack() as stack:
+    with socket.create_server(("127.0.0.1", 0), backlog=512) as listening, ExitStack() as stack:
 
         def start() -> Program:
-            running = stack.enter_context(program(folder, raw, door))
+            running = stack.enter_context(program(folder, raw, listening))
             running.logged("ready n0")
             load.begin()
             return running
 
-        load = Load(door.getsockname())
+        load = Load(listening.getsockname())
         try:
-            yield start, door, load, box_at
+            yield start, listening, load, box_at
         finally:
             load.stop()
             box_at.close()
 
 
-def over(running: Program) -> None:
+def stop(running: Program) -> None:
     running.terminate()
     assert running.process.wait(LIMIT) == 0
 
 
-def test_two_upgrades_in_a_row_turn_nobody_away(tmp_path: Path) -> None:
-    with upgrading(tmp_path) as (start, door, load, _):
+def test_two_upgrades_in_a_row_fail_no_request(tmp_path: Path) -> None:
+    with upgrading(tmp_path) as (start, listening, load, _):
         first = start()
         load.until_answered_again(0.3)
         second = start()
         second.logged("took over")
-        first.logged("silent on the ring")
-        over(first)
+        first.logged("no longer sending on the ring")
+        stop(first)
         third = start()
         third.logged("took over")
-        over(second)
+        stop(second)
         load.until_answered_again(0.3)
         load.stop()
-        assert load.unheard == []
+        assert load.failures == []
 
 
-def test_files_under_load_and_an_upgrade_right_behind_one_turn_nobody_away(tmp_path: Path) -> None:
-    with upgrading(tmp_path) as (start, door, load, _):
+def test_reloads_under_load_and_an_upgrade_right_after_fail_no_request(tmp_path: Path) -> None:
+    with upgrading(tmp_path) as (start, listening, load, _):
         first = start()
         load.until_answered_again(0.0)
         raw = json.loads((tmp_path / "config.json").read_text())
@@ -537,14 +535,14 @@
         first.process.send_signal(signal.SIGHUP)
         first.logged("attempts 6\n")
         second = start()
-        over(first)
+        stop(first)
         load.until_answered_again(0.3)
         load.stop()
-        assert load.unheard == []
+        assert load.failures == []
         assert "sighup_applied=0" in ask(second, "GET", "/api/telemetry")[1]
 
 
-def test_two_processes_have_descriptors_and_memory_between_them(tmp_path: Path) -> None:
+def test_two_processes_share_the_limits_on_descriptors_and_memory(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config()))
     loop = Loop(lambda line: None)
@@ -559,15 +557,15 @@
     loop.epoll.close()
 
 
-def test_a_new_process_that_dies_before_its_yes_changes_nothing(tmp_path: Path) -> None:
-    with upgrading(tmp_path) as (start, door, load, _):
+def test_a_new_process_that_dies_before_it_is_ready_changes_nothing(tmp_path: Path) -> None:
+    with upgrading(tmp_path) as (start, listening, load, _):
         first = start()
-        with program(tmp_path, with_ops(), door) as second:
+        with program(tmp_path, with_ops(), listening) as second:
             second.logged("starting n0")
             second.process.kill()
             second.process.wait(LIMIT)
         time.sleep(0.2)
-        third = start()  # and the one before may end without a word
+        third = start()  # and its predecessor may be killed
         first.process.kill()
         first.process.wait(LIMIT)
         load.until_answered_again(0.5)
@@ -575,28 +573,29 @@
         assert ask(third, "GET", "/api/ready")[0] == 200
 
 
-def test_what_operators_said_holds_across_upgrades_whoever_was_told(tmp_path: Path) -> None:
-    with upgrading(tmp_path) as (start, door, load, _):
+def test_operators_calls_hold_across_upgrades_whichever_process_got_them(tmp_path: Path) -> None:
+    with upgrading(tmp_path) as (start, listening, load, _):
         load.stop()
         first = start()
         assert ask(first, "POST", "/api/exclude/s-1")[0] == 200
         assert ask(first, "POST", "/api/evacuate")[0] == 200
-        second = start()  # it can serve, though it is emptied
-        caller = second.process and socket.create_connection(door.getsockname(), LIMIT)
+        second = start()  # it can serve, though it is evacuated
+        caller = second.process and socket.create_connection(listening.getsockname(), LIMIT)
         caller.settimeout(LIMIT)
         caller.sendall(PING + command("aa01"))
         assert read_until(caller, b"\r\n").startswith(b"-ERR evacuated\r\n")
         assert ask(second, "POST", "/api/rejoin")[0] == 200
         assert ask(second, "POST", "/api/include/s-1")[0] == 200
         end = time.monotonic() + LIMIT
-        while "ejected=0" not in ask(first, "GET", "/api/telemetry")[1]:  # it hears what the newer was told
+        # It learns of calls to the newer process
+        while "ejected=0" not in ask(first, "GET", "/api/telemetry")[1]:
             assert time.monotonic() < end
-        # what is handed on is the route set as told, with what was out
+        # the discovered route set is handed over, and the exclusions with it
         assert "discovered=2" in ask(second, "GET", "/api/telemetry")[1]
-        over(first)
+        stop(first)
         third = start()
         assert "ejected=0" in ask(third, "GET", "/api/telemetry")[1]
-        again = socket.create_connection(door.getsockname(), LIMIT)
+        again = socket.create_connection(listening.getsockname(), LIMIT)
         again.settimeout(LIMIT)
         again.sendall(PING)
         assert read_until(again, b"\r\n") == b"+PONG\r\n"
@@ -604,12 +603,12 @@
             sock.close()
 
 
-def test_after_sighup_and_with_connections_that_stay_the_old_one_ends_and_loses_nothing(
+def test_the_old_process_exits_cleanly_after_sighup_and_with_open_connections(
     tmp_path: Path,
 ) -> None:
-    with upgrading(tmp_path) as (start, door, load, _):
+    with upgrading(tmp_path) as (start, listening, load, _):
         first = start()
-        connections = [socket.create_connection(door.getsockname(), LIMIT) for _ in range(40)]
+        connections = [socket.create_connection(listening.getsockname(), LIMIT) for _ in range(40)]
         for connection in connections:
             connection.settimeout(LIMIT)
             connection.sendall(PING)
@@ -617,25 +616,25 @@
         first.process.send_signal(signal.SIGHUP)
         second = start()
         second.process.send_signal(signal.SIGHUP)
-        over(first)
+        stop(first)
         for connection in connections:
             assert connection.recv(10) == b""
         load.stop()
-        assert load.unheard == []
+        assert load.failures == []
         second.logged("reload: nothing to do")
 
 
-def test_without_a_passed_socket_nothing_of_it_is_imported() -> None:
+def test_without_a_passed_socket_the_handover_is_not_imported() -> None:
     code = (
         "import sys, standflow.__main__; print([m for m in sys.modules if 'upgrade' in m or 'handover' in m])"
     )
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, check=True).stdout == b"[]\n"
 
 
-def test_a_kill_in_the_middle_of_a_write_leaves_what_was_written_before(
+def test_a_kill_in_the_middle_of_a_write_leaves_the_previous_record(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # What a process told before was lost with a state file torn by a kill.
+    # A state file torn by a kill lost the previous record too.
     writer = StateFiles(str(tmp_path), "n0", 1, lambda line: None)
     writer.write({"generation": 1, "told": "first", "filler": "x" * 20_000})
     pwrite = os.pwrite
@@ -649,25 +648,25 @@
         writer.write({"generation": 1, "told": "second", "filler": "y" * 20_000})
     monkeypatch.undo()
     reader = StateFiles(str(tmp_path), "n0", 2, lambda line: None)
-    looks = [reader.others() for _ in range(3)]
-    assert looks[-1].get(1, {}).get("told") in ("first", "second")
+    reads = [reader.others() for _ in range(3)]
+    assert reads[-1].get(1, {}).get("told") in ("first", "second")
 
 
 @pytest.mark.parametrize(
     "sizes", [(3, 5, 4), (3_000, 9_000, 50, 40_000), (2_000_000, 2_500_000, 3, 2_600_000)]
 )
-def test_a_write_that_breaks_off_at_any_byte_leaves_the_record_before_it(
+def test_a_write_interrupted_at_any_byte_leaves_the_previous_record(
     sizes: tuple[int, ...], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The newest_record record was overwritten in place, whatever its size.
-    pwrite, chance = os.pwrite, random.Random(3)
+    # The only record was overwritten in place, so an interrupted write lost it.
+    pwrite, rng = os.pwrite, random.Random(3)
     writer = StateFiles(str(tmp_path), "n0", 1, lambda line: None)
     reader = StateFiles(str(tmp_path), "n0", 2, lambda line: None)
     writer.write({"generation": 1, "number": 0})
     for number, size in enumerate(sizes, start=1):
         record = {"generation": 1, "number": number, "filler": "x" * size}
         length = len(pack(record))
-        for cut in [0, 1, 30, length // 2, length - 1, *(chance.randrange(length) for _ in range(20))]:
+        for cut in [0, 1, 30, length // 2, length - 1, *(rng.randrange(length) for _ in range(20))]:
 
             def killed(fd: int, data: bytes, at: int, cut: int = cut) -> int:
                 pwrite(fd, data[:cut], at)
@@ -682,8 +681,8 @@
         assert reader.others()[1]["number"] == number
 
 
-def test_no_kill_of_a_process_loses_what_it_told_before(tmp_path: Path) -> None:
-    # A kill tore the only record; short writes, so that most kills come in the middle of one.
+def test_no_kill_of_a_process_loses_its_previous_record(tmp_path: Path) -> None:
+    # Writes in small pieces, so that most kills hit the middle of a record.
     code = """if True:
         import os, sys
         from standflow.upgrade.files import StateFiles
@@ -697,27 +696,28 @@
             files.write({"generation": generation, "number": number, "filler": filler})
             print(number, flush=True)
         """
-    chance = random.Random(5)
+    rng = random.Random(5)
     for generation in range(1, 16):
         arguments = [sys.executable, "-c", code, f"{tmp_path}", f"{generation}"]
         with subprocess.Popen(arguments, stdout=subprocess.PIPE, text=True) as process:
             assert process.stdout is not None
             assert process.stdout.readline() == "1\n"
-            time.sleep(chance.uniform(0.0, 0.02))
+            time.sleep(rng.uniform(0.0, 0.02))
             process.kill()
-            told = [line for line in process.stdout.read().split("\n")[:-1] if line]
-        last = int(told[-1]) if told else 1
+            written = [line for line in process.stdout.read().split("\n")[:-1] if line]
+        last = int(written[-1]) if written else 1
         reader = StateFiles(str(tmp_path), "n0", 1_000, lambda line: None)
-        looks = [reader.others() for _ in range(3)]
-        assert looks[-1].get(generation, {}).get("number") in (last, last + 1)
+        reads = [reader.others() for _ in range(3)]
+        assert reads[-1].get(generation, {}).get("number") in (last, last + 1)
 
 
-def test_a_file_of_an_earlier_version_is_read_and_that_reads_ours(tmp_path: Path) -> None:
-    # Two processes that meet in an upgrade may be of two versions.
+def test_state_files_are_compatible_with_an_earlier_version_in_both_directions(tmp_path: Path) -> None:
+    # The two processes of an upgrade may be of different versions.
     files = StateFiles(str(tmp_path), "n0", 5, lambda line: None)
     (tmp_path / "standflow-n0-4.state").write_bytes(pack({"generation": 4, "stage": "serving"}) + b"rest")
     assert files.others() == {4: {"generation": 4, "stage": "serving"}}
     for number in range(4):
         files.write({"generation": 5, "number": number})
-        first_slot = unpack(files.path.read_bytes())  # as an earlier version reads it: one write late at most
+        # An earlier version reads the first slot: at most one write late
+        first_slot = unpack(files.path.read_bytes())
         assert first_slot["number"] in (number, number - 1)
