--- a/standflow/__init__.py
+++ b/standflow/__init__.py
@@ -1,1 +1,1 @@
-"""standflow: a quota-keeping ingress on real sockets round the hoistfold decisions."""
+"""standflow: an ingress that enforces quotas, on real sockets around the hoistfold decision module."""
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -179,7 +179,7 @@
 
 def test_a_silent_watch_is_closed_after_one_missed_keepalive() -> None:
     """One stayed open without data for 8 s: next hops that drained meanwhile got requests past the grace."""
-    at, told = Recorder(), [0]
+    at, revisions = Recorder(), [0]
 
     def waits() -> float:
         """Seconds until the longest pending timeout of the watch."""
@@ -187,7 +187,13 @@
 
     with listener() as agent:
         routes = Routes(
-            at.loop, at.log.append, agent.getsockname(), (), 7, lambda r: told.append(r.revision), Random(1)
+            at.loop,
+            at.log.append,
+            agent.getsockname(),
+            (),
+            7,
+            lambda r: revisions.append(r.revision),
+            Random(1),
         )
         routes.connect()
         sock = agent.accept()[0]
@@ -197,7 +203,7 @@
         line = b'{"revision": 8, "complete": true, "members": []}\n'
         sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(line), line))
         routes.timing.patience = routes.timing.turned_away = 4.0
-        turn_until(at.loop, lambda: told[-1] == 8)
+        turn_until(at.loop, lambda: revisions[-1] == 8)
         assert (routes.timing.patience, routes.timing.turned_away) == (1.0, 0.0)  # reset by an answer
         assert 2.0 < waits() <= 3.0  # a keepalive is due every 2 s
         turn_until(at.loop, lambda: any("end routes silent" in line for line in at.log))
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -19,7 +19,7 @@
 from standflow.net.flow import MOST, Flow, Flows
 from standflow.net.nexthop import NextHops
 from tests.test_connections import Recorder
-from tests.test_ops import VALUE, shown, with_ops
+from tests.test_ops import VALUE, telemetry, with_ops
 from tests.wire import LIMIT, command, config, listener, member, program, read_until, turn_until
 
 LONG = bytes(range(256)) * 400  # over 64 KiB
@@ -405,7 +405,7 @@
             for caller in callers:
                 assert read_until(caller, b"\r\n") in (b"$5\r\nva\r\n", b"$5\r\nva\r\nl\r\n")
             assert len(seen) == 7
-            assert shown(running)["results.change.succeeded"] == 6
+            assert telemetry(running)["results.change.succeeded"] == 6
             peak = next(
                 int(line.split()[1])
                 for line in Path(f"/proc/{running.process.pid}/status").read_text().splitlines()
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -52,7 +52,7 @@
     return int(head.split()[1]), body.decode()
 
 
-def shown(running: Program) -> dict[str, int]:
+def telemetry(running: Program) -> dict[str, int]:
     lines = ask(running, "GET", "/api/telemetry")[1].split()
     return {name: int(value) for name, value in (line.split("=") for line in lines)}
 
@@ -61,11 +61,11 @@
     return config(ops="127.0.0.1:0", **changes)
 
 
-def serve(caller: socket.socket, at_hop: socket.socket, ident: str) -> None:
-    caller.sendall(command(ident))
+def serve(client: socket.socket, at_hop: socket.socket, ident: str) -> None:
+    client.sendall(command(ident))
     read_until(at_hop, b"first=0\r\n")
     at_hop.sendall(VALUE)
-    assert read_until(caller, b"l\r\n").startswith(b"$5")
+    assert read_until(client, b"l\r\n").startswith(b"$5")
 
 
 class RecordingOperators:
@@ -120,9 +120,9 @@
 
 STEPS = st.lists(
     st.one_of(
-        st.tuples(st.just("say"), st.sampled_from("abc"), st.booleans()),
-        st.tuples(st.just("told"), st.sampled_from("abc"), st.sampled_from(list(Phase))),
-        st.tuples(st.just("whole"), st.sets(st.sampled_from("abc")), st.just(Phase.SERVING)),
+        st.tuples(st.just("override"), st.sampled_from("abc"), st.booleans()),
+        st.tuples(st.just("change"), st.sampled_from("abc"), st.sampled_from(list(Phase))),
+        st.tuples(st.just("complete"), st.sets(st.sampled_from("abc")), st.just(Phase.SERVING)),
     ),
     max_size=30,
 )
@@ -142,13 +142,13 @@
                 seen[one.hop] = one.phase
 
     for now, (step, what, how) in enumerate(steps, 1):
-        if step == "say":
+        if step == "override":
             assert bool(overlay.set_excluded(what, how, float(now))) == (what not in ever)
             if what in ever:
                 (out.add if how else out.discard)(what)
             if (change := overlay.change(what)) is not None:
                 take(change)
-        elif step == "told":
+        elif step == "change":
             take(overlay.apply(RouteSet(now, False, (route(what, how),))))
             truth.pop(what, None)
             if how is not Phase.GONE:
@@ -185,35 +185,35 @@
     with listener() as hop:
         known = {"revision": 1, "complete": True, "members": [member(hop.getsockname())]}
         with program(tmp_path, with_ops(known=known)) as running:
-            caller = running.call()
-            caller.sendall(command("aa01"))
+            client = running.call()
+            client.sendall(command("aa01"))
             first = hop.accept()[0]
             first.settimeout(LIMIT)
             read_until(first, b"first=0\r\n")
             assert ask(running, "POST", "/api/exclude/s-2") == (404, "s-2 was never listed\n")
             assert ask(running, "POST", "/api/exclude/s-1") == (200, "yes\n")
             first.sendall(VALUE)  # an open request may finish
-            assert read_until(caller, b"l\r\n").startswith(b"$5")
+            assert read_until(client, b"l\r\n").startswith(b"$5")
             assert first.recv(10) == b""  # and the connection is not kept
-            caller.sendall(command("aa02"))
-            assert read_until(caller, b"\r\n").startswith(b"-BUSY ")
-            figures = shown(running)
+            client.sendall(command("aa02"))
+            assert read_until(client, b"\r\n").startswith(b"-BUSY ")
+            figures = telemetry(running)
             assert (figures["discovered"], figures["ejected"], figures["forwards"]) == (1, 1, 1)
             assert figures["results.look.succeeded"] == figures["results.look.declined"] == 1
             assert ask(running, "POST", "/api/include/s-1")[0] == 200
             hop.settimeout(0.05)
             for number in range(200):  # it is cold: its credit grows from zero
-                caller.sendall(command(f"ab{number}"))
+                client.sendall(command(f"ab{number}"))
                 try:
                     again = hop.accept()[0]
                     break
                 except TimeoutError:
-                    assert read_until(caller, b"\r\n").startswith(b"-BUSY ")
+                    assert read_until(client, b"\r\n").startswith(b"-BUSY ")
             again.settimeout(LIMIT)
             read_until(again, b"first=0\r\n")
             again.sendall(VALUE)
-            assert read_until(caller, b"l\r\n").startswith(b"$5")
-            assert shown(running)["ejected"] == 0
+            assert read_until(client, b"l\r\n").startswith(b"$5")
+            assert telemetry(running)["ejected"] == 0
 
 
 def test_calls_are_answered_while_many_connections_hold_a_partial_call(tmp_path: Path) -> None:
@@ -278,9 +278,9 @@
     with listener() as hop:
         known = {"revision": 1, "complete": True, "members": [member(hop.getsockname())]}
         with program(tmp_path, with_ops(known=known)) as running:
-            caller, answered = running.call(), 0
+            client, answered = running.call(), 0
             at_hop: socket.socket | None = None
-            caller.sendall(command("a0"))
+            client.sendall(command("a0"))
             ask(running, "POST", "/api/evacuate")
             while True:
                 if at_hop is None:
@@ -288,14 +288,14 @@
                     at_hop.settimeout(LIMIT)
                 read_until(at_hop, b"first=0\r\n")
                 following = command(f"a{answered + 1}")
-                caller.sendall(following[:20])  # the next command starts before each answer
+                client.sendall(following[:20])  # the next command starts before each answer
                 at_hop.sendall(VALUE)
-                assert read_until(caller, b"l\r\n") == b"$5\r\nva\r\nl\r\n"
+                assert read_until(client, b"l\r\n") == b"$5\r\nva\r\nl\r\n"
                 answered += 1
-                if select.select([caller], [], [], 0.1)[0]:
+                if select.select([client], [], [], 0.1)[0]:
                     break
-                caller.sendall(following[20:])
-            assert caller.recv(10) == b""
+                client.sendall(following[20:])
+            assert client.recv(10) == b""
             assert answered > 1
             assert running.logged(rf"end caller drained answered={answered} open=0")
             late = running.call()  # from then on a connection is served a single command
@@ -308,16 +308,16 @@
     with listener() as hop:
         known = {"revision": 1, "complete": True, "members": [member(hop.getsockname())]}
         with program(tmp_path, with_ops(known=known)) as running:
-            caller = running.call()
-            caller.sendall(command("a0", d=20000))
+            client = running.call()
+            client.sendall(command("a0", d=20000))
             at_hop = hop.accept()[0]
             read_until(at_hop, b"first=0\r\n")
             ask(running, "POST", "/api/evacuate")
             time.sleep(PRESS + 0.2)
-            caller.sendall(command("a1"))  # too late to be served, but it must be answered
+            client.sendall(command("a1"))  # too late to be served, but it must be answered
             at_hop.sendall(VALUE)
             answers = b""
-            while more := caller.recv(65536):
+            while more := client.recv(65536):
                 answers += more
             assert answers == b"$5\r\nva\r\nl\r\n-BUSY 100\r\n"
 
@@ -375,7 +375,7 @@
 def test_without_a_free_descriptor_the_listener_pauses_and_resumes(monkeypatch: pytest.MonkeyPatch) -> None:
     loop, log = Loop(print), list[str]()
     listening = server.Server(loop, log.append, ("127.0.0.1", 0), lambda method, target: Answer(200, "yes\n"))
-    with socket.create_connection(listening.address, LIMIT) as caller, monkeypatch.context() as patched:
+    with socket.create_connection(listening.address, LIMIT) as client, monkeypatch.context() as patched:
 
         def none_left(sock: socket.socket) -> None:
             raise OSError(errno.EMFILE, "Too many open files")
@@ -386,9 +386,9 @@
             loop.turn()
         assert len(log) == 1
         patched.undo()
-        caller.sendall(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-        turn_until(loop, lambda: select.select([caller], [], [], 0)[0])
-        assert caller.recv(100).startswith(b"HTTP/1.1 200")
+        client.sendall(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
+        turn_until(loop, lambda: select.select([client], [], [], 0)[0])
+        assert client.recv(100).startswith(b"HTTP/1.1 200")
     listening.close()
     loop.epoll.close()
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -47,18 +47,18 @@
     raw = json.loads((ROOT / "deploy" / "example.json").read_text()) | {"listen": "127.0.0.1:0"}
     raw["known"]["members"] = []
     with program(tmp_path, raw) as running:
-        caller = running.call()
-        caller.sendall(command("aa01", kind="view").replace(b"t=plain", b"t=basic"))
-        answer = read_until(caller, b"\r\n")
+        client = running.call()
+        client.sendall(command("aa01", kind="view").replace(b"t=plain", b"t=basic"))
+        answer = read_until(client, b"\r\n")
         assert answer.startswith(b"-BUSY ")
         assert 0 < int(answer[6:]) <= 500
 
 
 def test_a_command_is_forwarded_and_its_value_returned_byte_for_byte(tmp_path: Path) -> None:
     with listener() as hop, program(tmp_path, config(known=known(hop))) as running:
-        caller = running.call()
-        caller.sendall(b"*1\r\n$4\r\nPING\r\n" + command("aa01", body=b"b\r\nd"))
-        assert read_until(caller, b"\r\n") == b"+PONG\r\n"
+        client = running.call()
+        client.sendall(b"*1\r\n$4\r\nPING\r\n" + command("aa01", body=b"b\r\nd"))
+        assert read_until(client, b"\r\n") == b"+PONG\r\n"
         at_hop = accepted(hop)
         got = read_until(at_hop, b"$4\r\nb\r\nd\r\n")
         assert got.startswith(b"*5\r\n$5\r\nQ.ASK\r\n$16\r\n00000000b4d65521\r\n$4\r\naa01\r\n")
@@ -66,8 +66,8 @@
         assert b",k=a7,units=1,spread=1,first=0\r\n" in got
         assert int(got.split(b",d=")[1].split(b",")[0]) <= 3000
         at_hop.sendall(VALUE)
-        assert read_until(caller, b"l\r\n") == ANSWER
-        caller.close()
+        assert read_until(client, b"l\r\n") == ANSWER
+        client.close()
         assert running.logged(r"end caller peer_closed answered=2")
 
 
@@ -92,9 +92,9 @@
     tmp_path: Path, sent: bytes, answer: bytes
 ) -> None:
     with program(tmp_path, config()) as running:
-        caller = running.call()
-        caller.sendall(sent + b"*1\r\n$4\r\nPING\r\n")
-        assert read_until(caller, b"+PONG\r\n") == answer + b"+PONG\r\n"
+        client = running.call()
+        client.sendall(sent + b"*1\r\n$4\r\nPING\r\n")
+        assert read_until(client, b"+PONG\r\n") == answer + b"+PONG\r\n"
 
 
 @pytest.mark.parametrize(
@@ -102,10 +102,10 @@
 )
 def test_lost_framing_closes_only_that_connection(tmp_path: Path, sent: bytes) -> None:
     with program(tmp_path, config()) as running:
-        caller, other = running.call(), running.call()
-        caller.sendall(sent)
-        assert read_until(caller, b"\r\n").startswith(b"-ERR ")
-        assert caller.recv(10) == b""
+        client, other = running.call(), running.call()
+        client.sendall(sent)
+        assert read_until(client, b"\r\n").startswith(b"-ERR ")
+        assert client.recv(10) == b""
         other.sendall(b"*1\r\n$4\r\nPING\r\n")
         assert read_until(other, b"\r\n") == b"+PONG\r\n"
         assert running.logged("end caller bad_framing")
@@ -131,23 +131,23 @@
 
 def test_a_framing_error_arrives_though_much_more_was_sent(tmp_path: Path) -> None:
     with program(tmp_path, config()) as running:
-        caller = running.call()
-        caller.sendall(b"nonsense" * 30_000)  # a reset caused by unread bytes would discard the answer
-        assert read_until(caller, b"\r\n").startswith(b"-ERR ")
-        assert caller.recv(10) == b""
+        client = running.call()
+        client.sendall(b"nonsense" * 30_000)  # a reset caused by unread bytes would discard the answer
+        assert read_until(client, b"\r\n").startswith(b"-ERR ")
+        assert client.recv(10) == b""
 
 
 def test_the_id_of_an_open_request_is_refused_for_another_one(tmp_path: Path) -> None:
     """A next hop tells requests apart by id: the second one interfered with the first."""
     with listener() as hop, program(tmp_path, config(known=known(hop))) as running:
-        caller, other = running.call(), running.call()
-        caller.sendall(command("aa01"))
+        client, other = running.call(), running.call()
+        client.sendall(command("aa01"))
         at_hop = accepted(hop)
         read_until(at_hop, b"first=0\r\n")
         other.sendall(command("aa01", "Q.DO", "change"))
         assert read_until(other, b"\r\n") == b"-ERR the id is another open request's\r\n"
         at_hop.sendall(VALUE)
-        assert read_until(caller, b"l\r\n") == ANSWER
+        assert read_until(client, b"l\r\n") == ANSWER
         time.sleep(2 * REST)  # a connection is quarantined after an answer
         other.sendall(command("aa01"))  # the request is over: its id may be used again
         read_until(at_hop, b"first=0\r\n")
@@ -157,12 +157,12 @@
 
 def test_an_unsafe_command_cut_off_after_its_last_byte_fails_and_is_not_sent_again(tmp_path: Path) -> None:
     with listener() as hop, program(tmp_path, config(known=known(hop))) as running:
-        caller = running.call()
-        caller.sendall(command("aa01", "Q.DO", "change"))
+        client = running.call()
+        client.sendall(command("aa01", "Q.DO", "change"))
         at_hop = accepted(hop)
         read_until(at_hop, b"first=0\r\n")
         at_hop.close()
-        assert read_until(caller, b"\r\n") == b"-ERR failed\r\n"
+        assert read_until(client, b"\r\n") == b"-ERR failed\r\n"
         hop.setblocking(False)
         with pytest.raises(BlockingIOError):
             hop.accept()
@@ -170,19 +170,19 @@
 
 def test_a_pooled_connection_closed_by_the_next_hop_gets_no_command(tmp_path: Path) -> None:
     with listener() as hop, program(tmp_path, config(known=known(hop))) as running:
-        caller = running.call()
-        caller.sendall(command("aa01", "Q.DO", "change"))
+        client = running.call()
+        client.sendall(command("aa01", "Q.DO", "change"))
         at_hop = accepted(hop)
         read_until(at_hop, b"first=0\r\n")
         at_hop.sendall(VALUE)
-        read_until(caller, ANSWER)
+        read_until(client, ANSWER)
         at_hop.close()
         assert running.logged("end nexthop s-1 peer_closed served=1")
-        caller.sendall(command("aa02", "Q.DO", "change"))
+        client.sendall(command("aa02", "Q.DO", "change"))
         at_hop = accepted(hop)
         read_until(at_hop, b"first=0\r\n")
         at_hop.sendall(VALUE)
-        assert read_until(caller, b"l\r\n") == ANSWER
+        assert read_until(client, b"l\r\n") == ANSWER
 
 
 def test_after_sigterm_open_requests_are_served_before_the_exit(tmp_path: Path) -> None:
@@ -245,9 +245,9 @@
             change = {"revision": 7, "complete": True, "members": [draining, 3]}
             sock, asked = watch(agent, json.dumps(change, indent=2) + "\n\n")
             assert b"since" not in asked  # the unparsed member would not be sent again
-            caller = running.call()
-            caller.sendall(command("aa01"))
-            assert read_until(caller, b"\r\n").startswith(b"-BUSY")  # no next hop is serving
+            client = running.call()
+            client.sendall(command("aa01"))
+            assert read_until(client, b"\r\n").startswith(b"-BUSY")  # no next hop is serving
             sock.close()
             sock, asked = watch(agent, "no json\n")
             assert b"since=7 " in asked
@@ -276,8 +276,8 @@
             first = accepted(old)
             read_until(first, b"\r\n\r\n")
             report(first, 7, "SERVING")
-            caller = running.call()
-            caller.sendall(command("aa01", "Q.DO", "change"))
+            client = running.call()
+            client.sendall(command("aa01", "Q.DO", "change"))
             at_hop = accepted(hop)
             read_until(at_hop, b"first=0\r\n")
             for bad, named in [("{", "EDGE_CONFIG"), (raw | {"discovery": "nowhere"}, "discovery")]:
@@ -294,7 +294,7 @@
             assert first.recv(10) == b""
             report(second, 8, "DRAINING")
             at_hop.sendall(VALUE)  # a request that was open at the signal is served
-            assert read_until(caller, b"l\r\n") == ANSWER
+            assert read_until(client, b"l\r\n") == ANSWER
             assert running.logged("end nexthop s-1 drained")
 
 
@@ -330,10 +330,10 @@
     raw = config()
     raw["settings"]["TickUs"] = 1000
     with listener() as hop, program(tmp_path, raw | {"known": known(hop)}) as running:
-        caller = running.call()
-        caller.sendall(command("aa01", d=300))
+        client = running.call()
+        client.sendall(command("aa01", d=300))
         at_hop = accepted(hop)  # which never answers
-        assert read_until(caller, b"\r\n").startswith(b"-ERR")
+        assert read_until(client, b"\r\n").startswith(b"-ERR")
         at_hop.close()
         running.terminate()
         running.logged("stopped")
@@ -343,17 +343,17 @@
 def test_the_tally_lines_cover_what_an_ingress_did(tmp_path: Path) -> None:
     """Read with the tool that adds up the logs of a fleet."""
     with listener() as hop, program(tmp_path, config(known=known(hop))) as running:
-        caller = running.call()
-        caller.sendall(command("aa01"))
+        client = running.call()
+        client.sendall(command("aa01"))
         at_hop = accepted(hop)
         read_until(at_hop, b"first=0\r\n")
         at_hop.sendall(VALUE)
-        assert read_until(caller, b"l\r\n") == ANSWER
+        assert read_until(client, b"l\r\n") == ANSWER
         at_hop.close()
         hop.close()
-        caller.sendall(command("aa02"))  # nothing listens there any more
-        assert read_until(caller, b"\r\n").startswith(b"-BUSY")
-        caller.close()
+        client.sendall(command("aa02"))  # nothing listens there any more
+        assert read_until(client, b"\r\n").startswith(b"-BUSY")
+        client.close()
         running.terminate()
         running.logged("stopped")
     (tmp_path / "n0.log").write_text(running.log)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -18,7 +18,7 @@
 from standflow.exchange import Branch, InvalidRequestError, Outcome, Request, Result
 from standflow.net.nexthop import REST
 from tests.test_connections import Recorder
-from tests.test_ops import VALUE, shown, with_ops
+from tests.test_ops import VALUE, telemetry, with_ops
 from tests.wire import LIMIT, command, config, listener, member, program, read_until
 from tests.world import ended, request, sends, settings, started
 
@@ -143,7 +143,7 @@
         known = {"revision": 1, "complete": True, "members": [member(hop.getsockname())]}
         raw = with_ops(known=known, counter="127.0.0.1:1")
         with program(tmp_path, raw) as running:
-            caller = running.call()
+            client = running.call()
             path = tmp_path / "config.json"
 
             def reload(text: str, pattern: str) -> None:
@@ -152,8 +152,8 @@
                 running.logged(pattern)
 
             def answer(kind: str, name: str = "Q.ASK", ident: str = "aa01") -> bytes:
-                caller.sendall(command(ident, name, kind))
-                return read_until(caller, b"\r\n")
+                client.sendall(command(ident, name, kind))
+                return read_until(client, b"\r\n")
 
             broken = changed(raw, DeadlineUs=0)
             broken["settings"]["Classes"].append(raw["settings"]["Classes"][0] | {"Name": "new"})
@@ -166,21 +166,21 @@
             good["settings"]["Classes"].append(raw["settings"]["Classes"][0] | {"Name": "new"})
             del good["settings"]["Classes"][1]
             reload(json.dumps(good), "reload: done")
-            caller.sendall(command("aa02", "Q.DO", "change"))  # the client does not know the new file yet
+            client.sendall(command("aa02", "Q.DO", "change"))  # the client does not know the new file yet
             at_hop = hop.accept()[0]
             at_hop.settimeout(LIMIT)
             read_until(at_hop, b"first=0\r\n")
             at_hop.sendall(VALUE)
-            assert read_until(caller, b"l\r\n").startswith(b"$5")
+            assert read_until(client, b"l\r\n").startswith(b"$5")
             time.sleep(2 * REST)  # a connection is quarantined after an answer
-            caller.sendall(command("aa03", "Q.ASK", "new"))
+            client.sendall(command("aa03", "Q.ASK", "new"))
             read_until(at_hop, b"first=0\r\n")
             at_hop.sendall(VALUE)
-            assert read_until(caller, b"l\r\n").startswith(b"$5")
+            assert read_until(client, b"l\r\n").startswith(b"$5")
             over = command("aa04", "Q.DO", "change").replace(b"units=1", b"units=9")  # never forwarded
             while True:
-                caller.sendall(over)
-                if read_until(caller, b"\r\n") == b"-ERR unknown class\r\n":
+                client.sendall(over)
+                if read_until(client, b"\r\n") == b"-ERR unknown class\r\n":
                     break
             with listener() as agent, listener() as other:  # two files, one soon after the other
                 moved = [good | {"discovery": "{}:{}".format(*at.getsockname())} for at in (agent, other)]
@@ -191,6 +191,6 @@
                     running.logged(f"(?:reload: done(?:.|\\n)*){{{number + 2}}}")
                 assert b"/v1/endpoints" in other.accept()[0].recv(1000)
                 running.logged("attempts 2")
-            figures = shown(running)
+            figures = telemetry(running)
             assert (figures["sighup_applied"], figures["sighup_rejected"]) == (3, 2)
             assert figures["results.new.succeeded"] == figures["results.change.succeeded"] == 1
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -201,18 +201,18 @@
 def test_the_old_process_stops_sending_before_the_new_one_begins_and_resumes_when_that_dies(
     tmp_path: Path,
 ) -> None:
-    said: list[str] = []
+    events: list[str] = []
     loop = Loop(lambda line: None)
-    part = partial(handover_part, loop, said, tmp_path)
+    part = partial(handover_part, loop, events, tmp_path)
     part("old")
     new = part("new")
-    turn_until(loop, lambda: "new adds 2" in said and "old adds 3" in said)
+    turn_until(loop, lambda: "new adds 2" in events and "old adds 3" in events)
     new.closed = True  # it stops writing
-    turn_until(loop, lambda: "old speaks True" in said)
-    said.remove("old adds 3")  # at any time after the new one has begun
-    assert [line for line in said if line[:4] in ("old ", "new ")] == [
-        *("old begins", "old speaks False", "new lists old", "new absorbs old", "new begins", "new adds 2"),
-        *("old resumes", "old speaks True"),
+    turn_until(loop, lambda: "old sends True" in events)
+    events.remove("old adds 3")  # at any time after the new one has begun
+    assert [line for line in events if line[:4] in ("old ", "new ")] == [
+        *("old begins", "old sends False", "new lists old", "new imports old", "new begins", "new adds 2"),
+        *("old resumes", "old sends True"),
     ]
     loop.epoll.close()
 
@@ -221,32 +221,32 @@
 def test_steps_of_the_wall_clock_delay_no_process_and_declare_none_dead(
     step: float, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    said: list[str] = []
+    events: list[str] = []
     loop, wall = Loop(lambda line: None), time.time
-    part = partial(handover_part, loop, said, tmp_path)
+    part = partial(handover_part, loop, events, tmp_path)
     old = part("old")
-    turn_until(loop, lambda: "old begins" in said)
+    turn_until(loop, lambda: "old begins" in events)
     monkeypatch.setattr(time, "time", lambda: wall() + step)
     beats = old.written_at
     turn_until(loop, lambda: old.written_at > beats + 2 * HEARTBEAT_SECONDS)  # its heartbeats continue
     new = part("new")
-    turn_until(loop, lambda: "new adds 2" in said)
+    turn_until(loop, lambda: "new adds 2" in events)
     monkeypatch.setattr(time, "time", wall)
     end = time.monotonic() + LIVENESS_SECONDS + 0.5
     turn_until(loop, lambda: time.monotonic() > end)
-    assert "old resumes" not in said  # the new one is alive
-    assert said.count("new begins") == 1
+    assert "old resumes" not in events  # the new one is alive
+    assert events.count("new begins") == 1
     new.closed = True
-    turn_until(loop, lambda: "old speaks True" in said)
+    turn_until(loop, lambda: "old sends True" in events)
     loop.epoll.close()
 
 
 def test_a_new_process_waits_no_longer_for_a_stuck_one_after_a_clock_step(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    said: list[str] = []
-    loop, wall = Loop(said.append), time.time
-    stuck = StateFiles(f"{tmp_path}", "n0", 5, said.append)
+    events: list[str] = []
+    loop, wall = Loop(events.append), time.time
+    stuck = StateFiles(f"{tmp_path}", "n0", 5, events.append)
 
     def beat() -> None:
         part = {"generation": 5, "at": time.time(), "stage": "serving", "handed_to": 0}
@@ -254,28 +254,28 @@
 
     beat()
     loop.every(0.05, beat)
-    handover_part(loop, said, tmp_path, "new")
+    handover_part(loop, events, tmp_path, "new")
     began = time.monotonic()
     monkeypatch.setattr(time, "time", lambda: wall() - 3600.0)
-    turn_until(loop, lambda: "new begins" in said)
+    turn_until(loop, lambda: "new begins" in events)
     assert STATE_TIMEOUT_SECONDS - 0.1 < time.monotonic() - began < 2 * STATE_TIMEOUT_SECONDS
     loop.epoll.close()
 
 
-def handover_part(loop: Loop, said: list[str], folder: Path, name: str) -> Handover:
+def handover_part(loop: Loop, events: list[str], folder: Path, name: str) -> Handover:
     """One process of a handover that records the callbacks it gets."""
 
     def note(*what: Any) -> Any:
-        said.append(" ".join([name, *map(str, what)]))
+        events.append(" ".join([name, *map(str, what)]))
 
-    parts = HandoverCallbacks(
+    callbacks = HandoverCallbacks(
         export_state=lambda: {"known": name},
-        import_state=lambda told: note("absorbs", told["known"]),
+        import_state=lambda state: note("imports", state["known"]),
         spent=lambda: [["00", "plain", 0, 1, 2 if name == "old" else 3]],
         add=lambda row: note("adds", row[4]),
         resume=lambda: note("resumes"),
-        set_peer_sending=lambda wanted: note("speaks", wanted),
-        share_limits=lambda another: None,
+        set_peer_sending=lambda enabled: note("sends", enabled),
+        share_limits=lambda shared: None,
         routes=lambda: [name],
         import_routes=lambda members: note("lists", *members),
         overlay=None,
@@ -283,7 +283,7 @@
         evacuated=lambda: (False, 0.0),
         evacuate=note,
     )
-    handover = Handover(loop, said.append, f"{folder}", "n0", parts)
+    handover = Handover(loop, events.append, f"{folder}", "n0", callbacks)
     handover.ask(lambda: note("begins"))
     return handover
 
@@ -298,11 +298,11 @@
         assert pair.ask(0, f"a{n}")
     pair.epochs(3)
     old = pair.live[0]
-    told = json.loads(json.dumps(handover.export(old)))
+    state = json.loads(json.dumps(handover.export(old)))
     before = handover.counts(old)
     pair.restart(0)
     new = pair.live[0]
-    handover.absorb(new, told)
+    handover.absorb(new, state)
     key = next(iter(old.quotas))
     assert new.quotas[key].own == pytest.approx(old.quotas[key].own)
     assert new.quotas[key].others == pytest.approx(old.quotas[key].others)
@@ -369,9 +369,9 @@
     gateway = started(gateways=4, number=1)
     row = ["0011223344", "basic", 1, 2, 0.0, 1.0, 1.0, 0.0, [[0, 4]]]
     row[place] = value
-    told = {"quotas": [row], "heard": {}, "backends": {}, "base": {}, "limit": 8.0, "busy": 0.0, "took": 1.0}
+    state = {"quotas": [row], "heard": {}, "backends": {}, "base": {}, "limit": 8.0, "busy": 0.0, "took": 1.0}
     try:
-        handover.absorb(gateway, told)
+        handover.absorb(gateway, state)
     except (KeyError, TypeError, ValueError):
         return
     for quota in gateway.quotas.values():
@@ -418,10 +418,10 @@
 class Load:
     """Clients that send on new and reused connections; missing or partial answers are recorded."""
 
-    def __init__(self, address: tuple[str, int], callers: int = 4) -> None:
+    def __init__(self, address: tuple[str, int], clients: int = 4) -> None:
         self.address, self.stopped = address, False
-        self.answered, self.failures = [0] * callers, list[str]()
-        self.threads = [threading.Thread(target=self._ask, args=(n,)) for n in range(callers)]
+        self.answered, self.failures = [0] * clients, list[str]()
+        self.threads = [threading.Thread(target=self._ask, args=(n,)) for n in range(clients)]
         self.begun = False
 
     def begin(self) -> None:
@@ -468,7 +468,7 @@
             thread.join(LIMIT)
 
 
-def box(sock: socket.socket) -> None:
+def serve_hop(sock: socket.socket) -> None:
     """A next hop that answers every command."""
     try:
         while data := sock.recv(65536):
@@ -480,8 +480,8 @@
 @contextmanager
 def upgrading(folder: Path, **changes: Any) -> Iterator[tuple[Any, socket.socket, Load, Acceptor]]:
     """Yields a function that starts processes on one listening socket, under load."""
-    box_at = Acceptor(box)
-    members = [member(box_at.address), member(box_at.address) | {"id": "s-2"}]
+    acceptor = Acceptor(serve_hop)
+    members = [member(acceptor.address), member(acceptor.address) | {"id": "s-2"}]
     raw = with_ops(known={"revision": 1, "complete": True, "members": members}, **changes)
     with socket.create_server(("127.0.0.1", 0), backlog=512) as listening, ExitStack() as stack:
 
@@ -493,10 +493,10 @@
 
         load = Load(listening.getsockname())
         try:
-            yield start, listening, load, box_at
+            yield start, listening, load, acceptor
         finally:
             load.stop()
-            box_at.close()
+            acceptor.close()
 
 
 def stop(running: Program) -> None:
@@ -580,10 +580,10 @@
         assert ask(first, "POST", "/api/exclude/s-1")[0] == 200
         assert ask(first, "POST", "/api/evacuate")[0] == 200
         second = start()  # it can serve, though it is evacuated
-        caller = second.process and socket.create_connection(listening.getsockname(), LIMIT)
-        caller.settimeout(LIMIT)
-        caller.sendall(PING + command("aa01"))
-        assert read_until(caller, b"\r\n").startswith(b"-ERR evacuated\r\n")
+        client = second.process and socket.create_connection(listening.getsockname(), LIMIT)
+        client.settimeout(LIMIT)
+        client.sendall(PING + command("aa01"))
+        assert read_until(client, b"\r\n").startswith(b"-ERR evacuated\r\n")
         assert ask(second, "POST", "/api/rejoin")[0] == 200
         assert ask(second, "POST", "/api/include/s-1")[0] == 200
         end = time.monotonic() + LIMIT
@@ -599,7 +599,7 @@
         again.settimeout(LIMIT)
         again.sendall(PING)
         assert read_until(again, b"\r\n") == b"+PONG\r\n"
-        for sock in (caller, again):
+        for sock in (client, again):
             sock.close()
 
 
