--- a/standflow/driver.py
+++ b/standflow/driver.py
@@ -238,7 +238,7 @@
         self.exported_counts[key] = (self.exported_counts.get(key, 0) + more) & 0xFFFF
 
     def resume(self) -> None:
-        """The other process has exited: this one uses again what it handed over."""
+        """The other process is dead: this one uses again what it handed over."""
         from hoistfold import handover
 
         handover.resume(self.module)
--- a/standflow/ops/overlay.py
+++ b/standflow/ops/overlay.py
@@ -74,9 +74,9 @@
         return ""
 
     def merge(self, hop: str, override: Override) -> bool:
-        """Takes in an override, possibly one from another process; true if the next hop changes by it.
+        """Takes in an override, possibly one from another process, unless a later one is known.
 
-        It is ignored if a later one is known.
+        True if it changes whether the next hop is excluded.
         """
         before = self.overrides.get(hop)
         if before is not None and before.at >= override.at:
@@ -86,7 +86,7 @@
             self.included_again[hop] = (override.excluded_at, override.at)
         self.overrides[hop] = override
         self.overrides.move_to_end(hop)
-        # Drops the oldest inclusions, which have no effect after a while.
+        # Drops the oldest inclusions, which are of no use after a while.
         while len(self.overrides) > 2 * MAX_EXCLUDED:
             included = next((name for name, one in self.overrides.items() if not one.excluded), None)
             if included is None:
--- a/standflow/upgrade/handover.py
+++ b/standflow/upgrade/handover.py
@@ -53,7 +53,7 @@
         self.begin: Callable[[], None] = lambda: None
         self.exported: dict[str, Any] | None = None  # state for the newer process
         self.applied_use: dict[tuple[int, str], int] = {}  # of the other process, by generation and tenant
-        self.took_from = 0  # generation of the older process whose state this one has taken over
+        self.took_from = 0  # generation of the older process whose state was taken over, or 0
         self.another_alive = False
         self.written_at = -math.inf  # on the loop's clock, as all times here
         # By generation: the last timestamp written, and when it was first seen.
@@ -63,7 +63,7 @@
         loop.every(self._poll_interval, self._poll)
 
     def ask(self, begin: Callable[[], None]) -> None:
-        """This process can serve; `begin` is called once the predecessor has handed over its state."""
+        """This process can serve; `begin` is called once its predecessor's state arrived or is overdue."""
         if self.role.stage is Stage.STARTING:
             self.begin = begin
             self.role.ask(self.loop.now())
@@ -172,12 +172,12 @@
             self.write()
             self.begin()
         elif action == "hand":
-            self.log("upgrade: handed the state over to a newer process: no longer sending on the ring")
+            self.log("upgrade: handing the state over to a newer process: no longer sending on the ring")
             self.callbacks.set_peer_sending(False)
             self.exported = self.callbacks.export_state()
             self.write()
         elif action == "resume":
-            self.log("upgrade: the newer process has exited: sending on the ring again")
+            self.log("upgrade: the newer process is dead: sending on the ring again")
             self.exported = None
             self.callbacks.resume()
             self.callbacks.set_peer_sending(True)
