--- a/standflow/driver.py
+++ b/standflow/driver.py
@@ -119,9 +119,8 @@
             self.log(f"fault of the module on {name}: " + traceback.format_exc().replace("\n", " | "))
             if transaction is not None:
                 self.exchange.abandon(transaction, AbandonReason.FAULT)
-                if not isinstance(
-                    event, i.RequestGone
-                ):  # the module drops what it still holds of the request
+                # The module drops what it still holds of the request.
+                if not isinstance(event, i.RequestGone):
                     self.events.append((i.RequestGone(transaction.name), None))
             return
         for action in actions:
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -326,9 +326,8 @@
     starts = StartTimes()
     started = starts.start_time("s-1", true - age, now, wall)
     assert now - started == pytest.approx(expected)
-    assert (
-        starts.start_time("s-1", true - age, now + 7.0, wall + 7.0) == started
-    )  # reported again: the same start
+    # Reported again: the same start.
+    assert starts.start_time("s-1", true - age, now + 7.0, wall + 7.0) == started
     assert starts.start_time("s-1", true + 6.0, now + 7.0, wall + 7.0) != started
     starts.keep_only(set())
     assert starts.known == {}
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -107,11 +107,11 @@
 
 
 def test_the_figures_text_has_one_figure_a_line() -> None:
-    ends = {"view": TransactionCounts(9, 4, 2, 1, 1), "change": TransactionCounts()}
-    text = figures.text(figures.Figures(figures.Counts(ends, 7, 1, 1, 0), 5, 2))
+    counts = {"view": TransactionCounts(9, 4, 2, 1, 1), "change": TransactionCounts()}
+    text = figures.text(figures.Figures(figures.Counts(counts, 7, 1, 1, 0), 5, 2))
     assert text.startswith("results.change.succeeded=0\nresults.change.declined=0\n")
     assert "results.view.succeeded=4\nresults.view.declined=2\nresults.view.aborted=1\nforwards=7\n" in text
-    assert ends["view"].open == 1
+    assert counts["view"].open == 1
 
 
 def route(hop: str, phase: Phase = Phase.SERVING, up: float | None = None) -> Route:
@@ -130,36 +130,38 @@
 
 @given(STEPS)
 def test_the_overlay_shows_the_current_route_set_with_excluded_next_hops_draining(steps: list[Any]) -> None:
-    overlay, truth, out, ever = Overlay(), dict[str, Phase](), set[str](), set[str]()
-    seen: dict[str, Phase] = {}
+    overlay, discovered, excluded, known_ids = Overlay(), dict[str, Phase](), set[str](), set[str]()
+    shown: dict[str, Phase] = {}
 
-    def take(routes: RouteSet) -> None:
+    def show(routes: RouteSet) -> None:
         if routes.complete:
-            seen.clear()
+            shown.clear()
         for one in routes.routes:
-            seen.pop(one.hop, None)
+            shown.pop(one.hop, None)
             if one.phase is not Phase.GONE:
-                seen[one.hop] = one.phase
+                shown[one.hop] = one.phase
 
     for now, (step, what, how) in enumerate(steps, 1):
         if step == "override":
-            assert bool(overlay.set_excluded(what, how, float(now))) == (what not in ever)
-            if what in ever:
-                (out.add if how else out.discard)(what)
+            assert bool(overlay.set_excluded(what, how, float(now))) == (what not in known_ids)
+            if what in known_ids:
+                (excluded.add if how else excluded.discard)(what)
             if (change := overlay.change(what)) is not None:
-                take(change)
+                show(change)
         elif step == "change":
-            take(overlay.apply(RouteSet(now, False, (route(what, how),))))
-            truth.pop(what, None)
+            show(overlay.apply(RouteSet(now, False, (route(what, how),))))
+            discovered.pop(what, None)
             if how is not Phase.GONE:
-                truth[what] = how
-                ever.add(what)
+                discovered[what] = how
+                known_ids.add(what)
         else:
-            take(overlay.apply(RouteSet(now, True, tuple(route(hop) for hop in sorted(what)))))
-            truth = dict.fromkeys(what, Phase.SERVING)
-            ever |= what
-        assert seen == {hop: Phase.DRAINING if hop in out else phase for hop, phase in truth.items()}
-        assert overlay.listed_excluded() == out & truth.keys()
+            show(overlay.apply(RouteSet(now, True, tuple(route(hop) for hop in sorted(what)))))
+            discovered = dict.fromkeys(what, Phase.SERVING)
+            known_ids |= what
+        assert shown == {
+            hop: Phase.DRAINING if hop in excluded else phase for hop, phase in discovered.items()
+        }
+        assert overlay.listed_excluded() == excluded & discovered.keys()
 
 
 def test_a_next_hop_included_again_counts_as_cold_until_discovery_reports_its_restart() -> None:
@@ -177,8 +179,8 @@
 def test_the_number_of_excluded_next_hops_is_limited() -> None:
     overlay = Overlay()
     overlay.apply(RouteSet(1, True, tuple(route(f"s{n}") for n in range(MAX_EXCLUDED + 1))))
-    faults = [overlay.set_excluded(f"s{n}", True, float(n)) for n in range(MAX_EXCLUDED + 1)]
-    assert [n for n, fault in enumerate(faults) if fault] == [MAX_EXCLUDED]
+    errors = [overlay.set_excluded(f"s{n}", True, float(n)) for n in range(MAX_EXCLUDED + 1)]
+    assert [n for n, error in enumerate(errors) if error] == [MAX_EXCLUDED]
 
 
 def test_an_excluded_next_hop_gets_no_requests_until_it_is_included_again(tmp_path: Path) -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -385,9 +385,8 @@
     ingress.clients.ready = True
     with socket.create_connection(ingress.clients.address) as connection:
         connection.settimeout(LIMIT)
-        connection.sendall(
-            command("00000000000000aa")
-        )  # nothing listens there: every branch fails, one answer is given
+        # Nothing listens there: every branch fails, and one answer is given.
+        connection.sendall(command("00000000000000aa"))
         turn_until(loop, lambda: any("connect_failed" in line for line in log))
         turn_until(loop, lambda: ingress.tally.counts.get("answer.refused", 0) == 1)
         assert read_until(connection, b"\r\n").startswith(b"-BUSY")
--- a/tests/test_restart_readiness.py
+++ b/tests/test_restart_readiness.py
@@ -63,9 +63,8 @@
         with socket.create_connection(ingress.clients.address, LIMIT) as client:
             client.sendall(PING)
             turn_until(loop, lambda: ingress.clients.ready)
-            assert (
-                loop.now() >= before + READY_TIMEOUT_SECONDS
-            )  # the list may be stale: it waits for discovery first
+            # The list may be stale: it waits for discovery first.
+            assert loop.now() >= before + READY_TIMEOUT_SECONDS
             turn_until(loop, lambda: any(connection.answered for connection in ingress.clients.connections))
             assert read_until(client, b"\r\n") == b"+PONG\r\n"
         assert not ingress.routes_received
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -191,10 +191,10 @@
 
 def test_the_schedule_of_a_shutdown_follows_from_the_longest_deadline() -> None:
     for deadline in (0.001, 0.3, 0.8, 1.6, 3.0, 5.0, 600.0):
-        plan = schedule_for(deadline)
-        assert plan.kill == pytest.approx(min(deadline, 3.0) + 0.7)
-        assert 0.4 < plan.stop_accepting <= plan.stop_serving <= plan.answer_all < plan.exit
-        assert plan.exit + MAX_PAUSE_SECONDS <= plan.kill + 1e-9
+        schedule = schedule_for(deadline)
+        assert schedule.kill == pytest.approx(min(deadline, 3.0) + 0.7)
+        assert 0.4 < schedule.stop_accepting <= schedule.stop_serving <= schedule.answer_all < schedule.exit
+        assert schedule.exit + MAX_PAUSE_SECONDS <= schedule.kill + 1e-9
 
 
 def request(ident: str, patience: float) -> Request:
