--- a/standflow/assembly.py
+++ b/standflow/assembly.py
@@ -408,8 +408,8 @@
         self.driver.count = calls.count
         return calls
 
-    def _use_observed(self, told: Told) -> None:
-        self.driver.use_observed(told.key, told.place, told.count, told.level)
+    def _use_observed(self, observed: Told) -> None:
+        self.driver.use_observed(observed.key, observed.place, observed.count, observed.level)
 
     def start(self) -> None:
         """Starts serving: applies the saved route set, connects to discovery, then accepts clients."""
--- a/standflow/driver.py
+++ b/standflow/driver.py
@@ -191,9 +191,9 @@
         self.settings = settings
         self.dispatch(i.Retuned(settings))
 
-    def use_observed(self, key: bytes, place: int, count: int, level: float) -> None:
+    def use_observed(self, key: bytes, ring_index: int, count: int, level: float) -> None:
         """Passes UseWitnessed."""
-        self.dispatch(i.UseWitnessed(key, place, count, level))
+        self.dispatch(i.UseWitnessed(key, ring_index, count, level))
 
     def membership_changed(self, seen: Snapshot) -> None:
         """Passes FleetSeen."""
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -365,10 +365,10 @@
 
 
 @given(st.integers(0, 7), st.one_of(st.none(), st.integers(-3, 99), st.text(max_size=5), st.lists(st.none())))
-def test_a_malformed_row_changes_nothing_or_raises(place: int, value: Any) -> None:
+def test_a_malformed_row_changes_nothing_or_raises(field: int, value: Any) -> None:
     gateway = started(gateways=4, number=1)
     row = ["0011223344", "basic", 1, 2, 0.0, 1.0, 1.0, 0.0, [[0, 4]]]
-    row[place] = value
+    row[field] = value
     state = {"quotas": [row], "heard": {}, "backends": {}, "base": {}, "limit": 8.0, "busy": 0.0, "took": 1.0}
     try:
         handover.absorb(gateway, state)
