--- a/standflow/assembly.py
+++ b/standflow/assembly.py
@@ -1,7 +1,7 @@
-"""One ingress put together: every part is made here, and each subsystem attached in one visible place.
+"""Assembles one ingress: creates its components and connects the optional subsystems.
 
-A subsystem that the configuration leaves out is not imported. What one asks of the ingress stands in a type
-of its own (`Parts` in upgrade/handover.py, ops/operations.py and reloading.py).
+A subsystem that the configuration leaves out is not imported. What a subsystem needs from the ingress is
+declared as a set of callbacks next to it (see upgrade/handover.py, ops/operations.py and reloading.py).
 """
 
 from __future__ import annotations
@@ -21,10 +21,9 @@
 from standflow.net.peers import Peers
 from standflow.net.routes import Routes, read_routes, write_route
 from standflow.net.watch_timing import LAST_BACK_OFF
-from standflow.reloading import Parts as ReloadParts
-from standflow.reloading import Reloading
+from standflow.reloading import ReloadCallbacks, Reloading
 from standflow.shutdown import Shutdown, close_all
-from standflow.tally import EVERY, Tally
+from standflow.tally import INTERVAL_SECONDS, Tally
 
 if TYPE_CHECKING:
     from standflow.counter.ledger import RegisterReading
@@ -38,13 +37,14 @@
     from standflow.tls.streams import TlsStreams
     from standflow.upgrade.handover import Handover
 
-READY_AT_LATEST = 0.25  # seconds that a restarted ingress waits for discovery, its saved list being stale
-COME_BACK = 0.1  # seconds after which a caller turned away by no decision may come again
+# How long a restarted ingress waits for discovery, as its saved list may be stale.
+READY_TIMEOUT_SECONDS = 0.25
+DEFAULT_RETRY_AFTER_SECONDS = 0.1  # advised to clients that are refused without a decision of the module
 
 
 @contextmanager
-def named(key: str) -> Iterator[None]:
-    """An address that can't be listened at is a fault of its key."""
+def blamed_on(key: str) -> Iterator[None]:
+    """Reports an address that can't be bound as an error of its configuration key."""
     try:
         yield
     except OSError as error:
@@ -52,13 +52,15 @@
 
 
 class Ingress:
-    """The parts of one ingress, wired."""
+    """The connected components of one ingress."""
 
     def __init__(self, config: Config, loop: Loop, log: Callable[[str], None]) -> None:
         self.config, self.loop, self.log = config, loop, log
         settings = config.settings
         self.tally = Tally(loop, log)
-        come_back = min(COME_BACK, settings.max_retry_after) if settings.retry_after else None
+        default_retry_after = (
+            min(DEFAULT_RETRY_AFTER_SECONDS, settings.max_retry_after) if settings.retry_after else None
+        )
         self.exchange = Exchange(
             loop,
             log,
@@ -66,7 +68,7 @@
             config.plans,
             settings.max_attempts,
             config.max_open,
-            come_back,
+            default_retry_after,
             settings.gateways,
             settings.number,
             settings.max_units,
@@ -98,10 +100,11 @@
                 config.discovery,
                 config.zones,
                 config.initial_routes.revision if config.initial_routes else None,
-                self._routes_told,
+                self._routes_updated,
                 random.Random(config.seed),
                 self.tally,
-                # Where lists are pushed, what the agent has counts as told: no pause may outlast the grace.
+                # With pushed discovery the drain grace starts when the agent has the list, so the back-off
+                # must stay below the grace.
                 min(LAST_BACK_OFF, config.drain_grace / 2) if settings.pushed_discovery else LAST_BACK_OFF,
             )
         self.peers: Peers | None = None
@@ -113,19 +116,19 @@
             self.exchange,
             probe=self.next_hops.probe,
             close_idle=self.next_hops.close_idle,
-            tell=self._tell,
-            fetch=self._fetch,
+            send_to_peer=self._send_to_peer,
+            fetch_routes=self._fetch_routes,
         )
         self.exchange.decisions = self.driver
         self.handshake_limiter = self._make_handshake_limiter()
-        self.reconciliation = self._make_reconciliation()
-        self.quota_calls = self._make_quota_calls()
-        self.speaks = True  # on the ring: of two processes of one ingress one alone does
-        self.member: Member | None = None
-        self.found: TrustedState | None = None  # in the store
+        self.counter_reconciliation = self._make_counter_reconciliation()
+        self.counter_calls = self._make_counter_calls()
+        self.sends_to_peers = True  # only one of two processes of an ingress does
+        self.fleet_member: Member | None = None
+        self.restored: TrustedState | None = None  # what the store held at the start
         if config.passed_fd is None:
             self._listen_to_peers()
-        with named("listen" if config.passed_fd is None else "EDGE_PASSED_SOCKET"):
+        with blamed_on("listen" if config.passed_fd is None else "EDGE_PASSED_SOCKET"):
             self.clients = ClientSide(
                 loop,
                 log,
@@ -139,7 +142,7 @@
             )
         self.shutdown = Shutdown(loop, log, self.clients, self.exchange)
         self.reloading = self._make_reloading()
-        self.told = False  # by discovery, since the start
+        self.routes_received = False  # from discovery, since the start
         self.ops = self._make_ops()
         self.handover = self._make_handover()
         self.store = self._make_store()
@@ -147,7 +150,7 @@
     def _listen_to_peers(self) -> None:
         config = self.config
         if config.peer_listen is not None:
-            with named("peer_listen"):
+            with blamed_on("peer_listen"):
                 self.peers = Peers(
                     self.loop,
                     self.log,
@@ -155,15 +158,15 @@
                     config.peers,
                     config.peers_all,
                     config.settings.number,
-                    self.driver.peer_told,
+                    self.driver.peer_message_received,
                     self.tally,
                     shared=config.passed_fd is not None,
                     open_to_all=config.fleet is not None and bool(config.fleet.seeds),
                 )
-            self.member = self._make_member(self.peers)
+            self.fleet_member = self._make_fleet_member(self.peers)
 
-    def _make_member(self, peers: Peers) -> Member | None:
-        """This ingress as a member of the fleet, where a membership is kept."""
+    def _make_fleet_member(self, peers: Peers) -> Member | None:
+        """This ingress as a member of the fleet, if membership is configured."""
         config = self.config
         if config.fleet is None:
             return None
@@ -171,54 +174,54 @@
         from standflow.fleet.snapshot import Snapshot
 
         def send(to: int | tuple[str, int], content: bytes) -> None:
-            if self.speaks:
+            if self.sends_to_peers:
                 peers.tell(to, content) if isinstance(to, int) else peers.send(to, content)
 
         def membership_changed(snapshot: Snapshot) -> None:
-            self.driver.fleet_seen(snapshot)
+            self.driver.membership_changed(snapshot)
             if self.handshake_limiter is not None:
                 self.handshake_limiter.limits.sharers = len(snapshot.slow_start_members)
 
         callbacks = MemberCallbacks(
             send=send, address_learned=peers.fill, membership_changed=membership_changed
         )
-        settings, chance = config.settings, random.Random(config.seed + 2)
-        fleet, places = config.fleet, (settings.number, settings.gateways)
+        settings, rng = config.settings, random.Random(config.seed + 2)
+        fleet, position = config.fleet, (settings.number, settings.gateways)
         member = Member(
-            self.loop, self.log, fleet.name, *places, peers.address, fleet.seeds, chance, callbacks
+            self.loop, self.log, fleet.name, *position, peers.address, fleet.seeds, rng, callbacks
         )
-        if self.found is not None:
-            member.restore_members(self.found.members)
+        if self.restored is not None:
+            member.restore_members(self.restored.members)
         peers.of_view, peers.heard = member.receive, member.note_ring_datagram
-        member.is_active = self.speaks
+        member.is_active = self.sends_to_peers
         return member
 
     def _make_handover(self) -> Handover | None:
-        """The meeting with other processes of this ingress, where the platform holds the listening socket."""
+        """The handover between processes of this ingress, if the platform passes the listening socket in."""
         if self.config.passed_fd is None or self.config.handover_folder is None:
             return None
-        from standflow.upgrade.handover import Handover, Parts
+        from standflow.upgrade.handover import Handover, HandoverCallbacks
 
         driver, clients, ops = self.driver, self.clients, self.ops
-        parts = Parts(
-            export=driver.export,
-            absorb=driver.absorb,
+        callbacks = HandoverCallbacks(
+            export_state=driver.export_state,
+            import_state=driver.import_state,
             spent=driver.spent,
             add=driver.add,
             resume=driver.resume,
-            speak=self._speak,
-            crowd=self._crowd,
-            routes=lambda: [write_route(route) for route in self._as_told()],
-            take_routes=self._routes_of_another,
+            set_peer_sending=self._set_peer_sending,
+            share_limits=self._share_limits,
+            routes=lambda: [write_route(route) for route in self._discovered_routes()],
+            import_routes=self._import_routes,
             overlay=None if ops is None else ops.overlay,
-            heard=lambda hop: None if ops is None else ops.heard(hop),
+            override_changed=lambda hop: None if ops is None else ops.override_changed(hop),
             evacuated=lambda: (clients.evacuated, clients.evacuated_at),
             evacuate=clients.evacuate,
         )
-        return Handover(self.loop, self.log, self.config.handover_folder, self.config.name, parts)
+        return Handover(self.loop, self.log, self.config.handover_folder, self.config.name, callbacks)
 
     def _make_store(self) -> StateStoreWriter | None:
-        """What outlives a power loss, where the operator's file has a place for it."""
+        """The writer of state that survives a power loss, if the operator's file sets a folder for it."""
         config = self.config
         if config.store is None:
             return None
@@ -228,123 +231,126 @@
 
         driver, clients, ops = self.driver, self.clients, self.ops
         fleet = "" if config.fleet is None else config.fleet.name
-        whose = identity(config.name, config.settings.number, fleet)
+        owner = identity(config.name, config.settings.number, fleet)
 
-        def operator_overrides() -> dict[str, list[Any]] | None:
+        def overrides() -> dict[str, list[Any]] | None:
             return (
                 None
                 if ops is None
-                else {hop: [one.out, one.at, one.went] for hop, one in ops.overlay.words.items()}
+                else {
+                    hop: [override.excluded, override.at, override.excluded_at]
+                    for hop, override in ops.overlay.overrides.items()
+                }
             )
 
         callbacks = WriterCallbacks(
-            used_windows=driver.used,
-            refill_windows=lambda windows: driver.refill(
+            used_windows=driver.used_since,
+            refill_windows=lambda windows: driver.restore_use(
                 [[w.key, w.plan, w.first, w.size, w.own, w.others] for w in windows]
             ),
             learned=driver.learnt,
             restore_learned=driver.learn,
-            routes=lambda: [write_route(route) for route in self._as_told()],
-            operator_overrides=operator_overrides,
+            routes=lambda: [write_route(route) for route in self._discovered_routes()],
+            operator_overrides=overrides,
             evacuation=lambda: (clients.evacuated, clients.evacuated_at),
-            members=lambda: None if self.member is None else self.member.counted_members(),
+            members=lambda: None if self.fleet_member is None else self.fleet_member.counted_members(),
         )
-        store = Store(config.store.folder, whose, config.store.max_bytes)
+        store = Store(config.store.folder, owner, config.store.max_bytes)
         return StateStoreWriter(self.loop, self.log, store, config.store.write_interval, callbacks)
 
-    def _trusted(self) -> TrustedState | None:
-        """What the store says, and of it what operators said is in force."""
+    def _load_store(self) -> TrustedState | None:
+        """Loads the store, and applies the operators' overrides and the evacuation found in it."""
         if self.store is None:
             return None
         from standflow.recovery.trust import Plan
 
         plans = {plan.name: Plan(plan.burst, plan.rate) for plan in self.config.settings.plans}
-        found = self.store.load(plans)
+        restored = self.store.load(plans)
         if self.ops is not None:
-            from standflow.ops.overlay import Word
-
-            for hop, (out, at, went) in found.operator_overrides.items():
-                self.ops.overlay.hear(hop, Word(out, at, went))
-        if found.evacuation is not None:
-            self.clients.evacuate(*found.evacuation)
-        self.found = found
-        if self.member is not None:
-            self.member.restore_members(found.members)
-        return found
-
-    def _as_told(self) -> list[Route]:
-        """The route set by discovery alone: what operators laid over it is handed on beside it."""
+            from standflow.ops.overlay import Override
+
+            for hop, (excluded, at, excluded_at) in restored.operator_overrides.items():
+                self.ops.overlay.merge(hop, Override(excluded, at, excluded_at))
+        if restored.evacuation is not None:
+            self.clients.evacuate(*restored.evacuation)
+        self.restored = restored
+        if self.fleet_member is not None:
+            self.fleet_member.restore_members(restored.members)
+        return restored
+
+    def _discovered_routes(self) -> list[Route]:
+        """The route set as discovery reported it; operators' overrides are handed over separately."""
         if self.ops is not None:
             return list(self.ops.overlay.routes.values())
         return [hop.route for hop in self.next_hops.hops.values()]
 
-    def _routes_of_another(self, members: list[Any]) -> None:
-        """The route set of the process before, where discovery has told this one nothing yet."""
-        if not self.told and members:
+    def _import_routes(self, members: list[Any]) -> None:
+        """Applies the previous process's route set unless discovery has already sent one to this process."""
+        if not self.routes_received and members:
             raw = {"revision": 0, "complete": True, "members": members}
             routes = read_routes(raw, self.config.zones, self.log)
-            self._laid_over(routes if self.ops is None else self.ops.overlay.told(routes))
+            self._apply_routes(routes if self.ops is None else self.ops.overlay.apply(routes))
 
-    def _speak(self, wanted: bool) -> None:
-        self.speaks = wanted
-        if self.member is not None:
-            self.member.is_active = wanted
+    def _set_peer_sending(self, enabled: bool) -> None:
+        self.sends_to_peers = enabled
+        if self.fleet_member is not None:
+            self.fleet_member.is_active = enabled
 
-    def _crowd(self, another: bool) -> None:
-        """Two processes of one ingress have its descriptors and its memory between them."""
-        config, part = self.config, 2 if another else 1
-        self.next_hops.max_connections = config.max_connections // part
-        self.next_hops.flows.budget = config.max_flow_bytes // part
-        self.clients.bodies.budget = config.max_body_bytes // part
-        self.clients.values.budget = config.max_value_bytes // part
+    def _share_limits(self, shared: bool) -> None:
+        """Halves the limits on descriptors and memory while another process of this ingress uses them too."""
+        config, processes = self.config, 2 if shared else 1
+        self.next_hops.max_connections = config.max_connections // processes
+        self.next_hops.flows.budget = config.max_flow_bytes // processes
+        self.clients.bodies.budget = config.max_body_bytes // processes
+        self.clients.values.budget = config.max_value_bytes // processes
 
     def _make_reloading(self) -> Reloading:
-        routes, tls, calls = self.routes, self.tls, self.reconciliation or self.quota_calls
-        parts = ReloadParts(
+        routes, tls, calls = self.routes, self.tls, self.counter_reconciliation or self.counter_calls
+        callbacks = ReloadCallbacks(
             move_discovery=None if routes is None else routes.move,
             move_counter=None if calls is None else calls.client.switch_address,
             reload_tls=None if tls is None else tls.reload,
         )
-        return Reloading(self.loop, self.log, self.config, self.exchange, self.driver, parts)
+        return Reloading(self.loop, self.log, self.config, self.exchange, self.driver, callbacks)
 
     def _make_ops(self) -> Operations | None:
-        """The operators' calls, where the platform gives them a place."""
+        """The operators' HTTP calls, if an address is configured for them."""
         config = self.config
         if config.ops is None:
             return None
         from standflow.ops.figures import Counts
-        from standflow.ops.operations import Operations, Parts
+        from standflow.ops.operations import Operations, OperationsCallbacks
 
-        parts = Parts(
+        callbacks = OperationsCallbacks(
             ready=lambda: self.clients.ready,
             stopping=lambda: self.shutdown.begun,
             counts=lambda: Counts(
-                ends=self.exchange.ends,
+                by_class=self.exchange.counts,
                 forwards=self.next_hops.forwards,
                 outstanding=self.exchange.open_count,
                 sighup_applied=self.reloading.applied,
                 sighup_rejected=self.reloading.rejected,
             ),
-            avoided=self.driver.avoided,
+            ejected=self.driver.ejected,
             evacuated=lambda: self.clients.evacuated,
             evacuate=self.clients.evacuate,
-            show=self._laid_over,
-            fleet=lambda: None if self.member is None else self.member.metrics(),
+            apply_routes=self._apply_routes,
+            fleet=lambda: None if self.fleet_member is None else self.fleet_member.metrics(),
             recovery=lambda: None if self.store is None else self.store.metrics(),
-            noted=self._noted,
+            state_changed=self._operator_state_changed,
         )
-        with named("ops"):
-            return Operations(self.loop, self.log, config.ops, config.name, parts)
+        with blamed_on("ops"):
+            return Operations(self.loop, self.log, config.ops, config.name, callbacks)
 
-    def _noted(self) -> None:
-        """An operator's word is for whoever comes after this process, too."""
+    def _operator_state_changed(self) -> None:
+        """Saves what operators changed, for other processes of this ingress and for the next start."""
         if self.handover is not None:
             self.handover.write()
         if self.store is not None:
             self.store.write_operator_records()
 
     def _make_tls(self) -> TlsStreams | None:
-        """Nothing of TLS is imported where the operator's file has no block for it."""
+        """TLS is imported only if the operator's file has a `tls` block."""
         if self.config.tls is None:
             return None
         try:
@@ -358,7 +364,7 @@
             raise ConfigError(f"tls: {error}") from None
 
     def _make_handshake_limiter(self) -> HandshakeLimiter | None:
-        """The limits on handshakes, where they are in force."""
+        """The handshake limiter, if it is configured."""
         options, settings, tls = self.config.handshakes, self.config.settings, self.tls
         if options is None:
             return None
@@ -367,10 +373,10 @@
         from standflow.handshakes.time_slots import WarmUp
 
         warm_up = WarmUp(settings.cold_from, settings.cold_time)
-        chance = random.Random(self.config.seed + 1)
-        limits = Limits(options, warm_up, settings.gateways, settings.number, chance, self.driver.offset)
+        rng = random.Random(self.config.seed + 1)
+        limits = Limits(options, warm_up, settings.gateways, settings.number, rng, self.driver.clock_offset)
         limiter = HandshakeLimiter(
-            self.loop, self.log, limits, self.next_hops, self._show, options.ready_connections
+            self.loop, self.log, limits, self.next_hops, self._show_routes, options.ready_connections
         )
         if tls is not None:
             limiter.resumable, limiter.forget, tls.changed = (
@@ -380,8 +386,8 @@
             )
         return limiter
 
-    def _make_reconciliation(self) -> CounterReconciliation | None:
-        """The counter beside the ring, where it is switched on."""
+    def _make_counter_reconciliation(self) -> CounterReconciliation | None:
+        """Reconciliation of quota use through the counter service, in addition to the ring, if it is on."""
         options, counter = self.config.witness, self.config.counter
         if options is None or counter is None:
             return None
@@ -393,38 +399,38 @@
             self.log,
             options,
             counter,
-            self._use_told,
+            self._use_observed,
             ModeTracker(self.driver.module.epoch, self.loop.now()),
-            self.driver.heard,
+            self.driver.peers_last_seen,
         )
-        self.driver.noted = reconciliation.record_use
+        self.driver.report_use = reconciliation.record_use
         return reconciliation
 
-    def _make_quota_calls(self) -> QuotaCalls | None:
-        """The counter in the ring's place, where settings allow calls of it and no word to peers."""
+    def _make_counter_calls(self) -> QuotaCalls | None:
+        """Quotas by the counter service instead of the ring, if peer messages are not allowed."""
         settings, counter = self.config.settings, self.config.counter
         if counter is None or not self.driver.module.counting:
             return None
         from standflow.counter.quota_calls import QuotaCalls
 
-        limit, tell = settings.count_limit, self.driver.counted
-        quota_calls = QuotaCalls(self.loop, self.log, counter, limit, tell, self.tally)
-        self.driver.count = quota_calls.count
-        return quota_calls
+        limit, answered = settings.count_limit, self.driver.count_answered
+        calls = QuotaCalls(self.loop, self.log, counter, limit, answered, self.tally)
+        self.driver.count = calls.count
+        return calls
 
-    def _use_told(self, told: RegisterReading) -> None:
-        self.driver.use_told(told.key, told.ring_index, told.count, told.level)
+    def _use_observed(self, observed: RegisterReading) -> None:
+        self.driver.use_observed(observed.key, observed.ring_index, observed.count, observed.level)
 
     def start(self) -> None:
-        """Begins to serve: the saved list first, then discovery's word, then the callers."""
-        known, found = self.config.initial_routes, self._trusted()
-        if found is not None and found.next_hops and self.routes is not None:
-            # candidates until discovery speaks; of it the whole list is asked for, whatever its revision is
-            raw = {"revision": 0, "complete": True, "members": found.next_hops}
+        """Starts serving: applies the saved route set, connects to discovery, then accepts clients."""
+        known, restored = self.config.initial_routes, self._load_store()
+        if restored is not None and restored.next_hops and self.routes is not None:
+            # Only candidates until discovery answers; the whole list is requested, whatever its revision.
+            raw = {"revision": 0, "complete": True, "members": restored.next_hops}
             known = read_routes(raw, self.config.zones, self.log)
             self.routes.revision = None
         if self.ops is not None and known is not None:
-            known = self.ops.overlay.told(known)
+            known = self.ops.overlay.apply(known)
         if self.handshake_limiter is not None:
             self.driver.start(None)
             if known is not None:
@@ -433,80 +439,80 @@
             if known is not None:
                 self.next_hops.routes_told(known)
             self.driver.start(known)
-        if found is not None and self.store is not None:
-            self.store.callbacks.refill_windows(found.windows)
-            if found.learned is not None:
+        if restored is not None and self.store is not None:
+            self.store.callbacks.refill_windows(restored.windows)
+            if restored.learned is not None:
                 try:
-                    self.store.callbacks.restore_learned(found.learned)
+                    self.store.callbacks.restore_learned(restored.learned)
                 except (KeyError, TypeError, ValueError, AttributeError) as error:
-                    self.log(f"store: what was learnt is passed over: {error!r}")
-            self.store.start(found)
+                    self.log(f"store: the learnt hint is ignored: {error!r}")
+            self.store.start(restored)
         if self.routes is not None:
             self.routes.connect()
         at_once = self.routes is None and self.handshake_limiter is None
-        self.loop.call_later(0.0 if at_once else READY_AT_LATEST, self._ready)
-        self.loop.call_later(EVERY * random.Random(self.config.seed).random(), self.tally.serve)
+        self.loop.call_later(0.0 if at_once else READY_TIMEOUT_SECONDS, self._ready)
+        self.loop.call_later(INTERVAL_SECONDS * random.Random(self.config.seed).random(), self.tally.serve)
 
     def _ready(self) -> None:
         if self.handover is not None:
-            self.handover.ask(self._begin)
+            self.handover.ask(self._begin_serving)
         else:
-            self._begin()
+            self._begin_serving()
 
-    def _begin(self) -> None:
-        """Callers are served from now on."""
+    def _begin_serving(self) -> None:
+        """Starts serving clients."""
         if not self.clients.ready:
             if self.config.passed_fd is not None:
                 try:
                     self._listen_to_peers()
-                except ConfigError as error:  # the ring does without this ingress
+                except ConfigError as error:  # the ring works without this ingress
                     self.log(f"fault: {error}")
             self.clients.open()
             self.log(f"ready {self.config.name} on {self.clients.address[0]}:{self.clients.address[1]}")
 
-    def _routes_told(self, routes: RouteSet) -> None:
-        self.told = True
-        self._laid_over(routes if self.ops is None else self.ops.overlay.told(routes))
+    def _routes_updated(self, routes: RouteSet) -> None:
+        self.routes_received = True
+        self._apply_routes(routes if self.ops is None else self.ops.overlay.apply(routes))
 
-    def _laid_over(self, routes: RouteSet) -> None:
-        """Takes in the route set as operators left it."""
+    def _apply_routes(self, routes: RouteSet) -> None:
+        """Applies a route set that already includes the operators' overrides."""
         if self.handshake_limiter is not None:
             self.handshake_limiter.update_routes(routes)
             return
         self.next_hops.routes_told(routes)
-        self.driver.routes_told(routes)
+        self.driver.routes_updated(routes)
         self._ready()
 
-    def _show(self, routes: RouteSet) -> None:
-        """What the handshake limiter lets the driver know."""
-        self.driver.routes_told(routes)
+    def _show_routes(self, routes: RouteSet) -> None:
+        """Passes on the routes that the handshake limiter has released."""
+        self.driver.routes_updated(routes)
         if routes.routes:
             self._ready()
 
-    def _fetch(self) -> None:
+    def _fetch_routes(self) -> None:
         if self.routes is not None:
             self.routes.fetch()
 
-    def _tell(self, peer: int | None, content: bytes) -> None:
-        if self.peers is not None and self.speaks:
+    def _send_to_peer(self, peer: int | None, content: bytes) -> None:
+        if self.peers is not None and self.sends_to_peers:
             self.peers.tell(peer, content)
 
     def stop(self) -> None:
         """SIGTERM."""
-        if self.shutdown.begin(self.reloading.config.longest_deadline) and self.member is not None:
-            self.member.leave()
+        if self.shutdown.begin(self.reloading.config.longest_deadline) and self.fleet_member is not None:
+            self.fleet_member.leave()
 
     def reload(self) -> None:
-        """SIGHUP. Also in a shutdown: its end goes by the shorter deadline of the two files."""
+        """SIGHUP, also during a shutdown, which then ends by the shorter deadline of the two files."""
         self.reloading.reload()
         self.shutdown.shorten(self.reloading.config.longest_deadline)
 
     def close(self) -> None:
-        """Ends every connection; each leaves its line in the log."""
-        parts = (
+        """Closes every connection; each writes its line to the log."""
+        components = (
             *(self.clients, self.next_hops, self.ops, self.handover, self.store),
-            *(self.reconciliation, self.quota_calls, self.member, self.routes),
+            *(self.counter_reconciliation, self.counter_calls, self.fleet_member, self.routes),
         )
-        closes = [part.close for part in parts if part is not None]
+        closes = [component.close for component in components if component is not None]
         last_counts = [] if self.tls is None else [self.tls.tell_counts]
         close_all([self.tally.flush, *closes, *last_counts], self.log)
--- a/standflow/handshakes/limiter.py
+++ b/standflow/handshakes/limiter.py
@@ -71,7 +71,7 @@
         """When a next hop started, of the loop's clock; `unix_time`: Unix time at `now`. None: long ago."""
         if route.up_since is None:
             return None
-        return self.starts.started(route.hop, route.up_since, now + self.offset, unix_time) - self.offset
+        return self.starts.start_time(route.hop, route.up_since, now + self.offset, unix_time) - self.offset
 
     # Admission: called by NextHops before it dials and on events of connections.
 
--- a/standflow/net/nexthop.py
+++ b/standflow/net/nexthop.py
@@ -15,7 +15,7 @@
 from standflow.net.flow import Flows
 from standflow.net.loop import Loop, broken
 from standflow.net.stream import PlainStream, Stream
-from standflow.platform_terms import HOLD_UP_SECONDS
+from standflow.platform_terms import MAX_PAUSE_SECONDS
 
 FLOW_BUDGET = 16 * 1024 * 1024  # bytes of long values on their way, where nothing else is said
 # Seconds for which a connection rests after an answer: a second one to the same command may follow some
@@ -91,7 +91,7 @@
         if hop.shut_at is None:
             # From when the change can have come at the earliest; and the first byte may leave so much later
             # than the clock was read.
-            hop.shut_at = self.loop.heard + max(0.0, self.drain_grace - HOLD_UP_SECONDS)
+            hop.shut_at = self.loop.heard + max(0.0, self.drain_grace - MAX_PAUSE_SECONDS)
             self.loop.call_at(hop.shut_at, self._grace_over, hop)
 
     def _grace_over(self, hop: Hop) -> None:
@@ -119,15 +119,15 @@
         def ended(result: Result) -> None:
             self.exchange.branch_ended(branch, result)
 
-        branch.carrier = PendingCommand(encode, read_answer, ended)
-        branch.carrier.counted = True
-        branch.carrier.until = branch.deadline
-        branch.carrier.begin = lambda flow: self.exchange.branch_began(branch, flow)
-        self._carry(branch.hop, branch.carrier)
+        branch.context = PendingCommand(encode, read_answer, ended)
+        branch.context.counted = True
+        branch.context.until = branch.deadline
+        branch.context.begin = lambda flow: self.exchange.stream_started(branch, flow)
+        self._carry(branch.hop, branch.context)
 
     def give_up(self, branch: Branch) -> bool:
         """Closes the branch's connection; see exchange.NextHopSide."""
-        pending: PendingCommand = branch.carrier
+        pending: PendingCommand = branch.context
         connection = pending.connection
         if connection is not None and connection.pending is pending:
             connection.pending = None
@@ -136,7 +136,7 @@
 
     def unsent(self, branch: Branch) -> bool:
         """See exchange.NextHopSide."""
-        return not branch.carrier.whole
+        return not branch.context.whole
 
     def probe(self, name: str, ended: Callable[[Result], None]) -> None:
         """PING, on a connection like any other; given up when the dialling time is over twice."""
--- a/standflow/ops/overlay.py
+++ b/standflow/ops/overlay.py
@@ -1,7 +1,7 @@
-"""Next hops taken out by hand, laid over the route set as told. No I/O; times are Unix time in seconds.
+"""Next hops excluded by hand, laid over the discovered route set. No I/O; times are Unix time in seconds.
 
-What discovery tells is kept as it is, so that putting a next hop back shows what is true then. One that is
-out and would serve is shown as draining: the rule on drains does the rest.
+The discovered route set is kept unchanged, so that including a next hop again shows its current state. An
+excluded next hop that is serving is shown as draining, and is drained like any other.
 """
 
 from __future__ import annotations
@@ -11,40 +11,40 @@
 
 from standflow.exchange import Phase, Route, RouteSet
 
-MOST_OUT = 1000  # next hops out at once; one more is refused
-MOST_SEEN = 20_000  # ids remembered as listed at some time, the latest
+MAX_EXCLUDED = 1000  # next hops excluded at once; another one is refused
+MAX_KNOWN_IDS = 20_000  # ids remembered as listed at some time, the most recent ones
 
 
 @dataclass(slots=True)
-class Word:
-    """The last call about a next hop: out or back, and when. The later of two words holds."""
+class Override:
+    """The last exclude or include call for a next hop. The later of two overrides holds."""
 
-    out: bool
+    excluded: bool
     at: float
-    went: float = 0.0  # when it went out last; 0: never
+    excluded_at: float = 0.0  # of the last exclusion; 0: never
 
 
 class Overlay:
-    """The route set as told, and what operators said of its next hops."""
+    """The discovered route set and the operators' overrides of its next hops."""
 
     def __init__(self) -> None:
         self.routes: dict[str, Route] = {}
-        self.seen: OrderedDict[str, None] = OrderedDict()
-        self.words: OrderedDict[str, Word] = OrderedDict()  # the one said last is last
-        # Back from being out, and nothing has told of the restart: when it went out, when it came back.
-        self.returned: dict[str, tuple[float, float]] = {}
+        self.known_ids: OrderedDict[str, None] = OrderedDict()
+        self.overrides: OrderedDict[str, Override] = OrderedDict()  # the most recent one last
+        # Included again, and discovery has not reported the restart yet: times of exclusion and inclusion.
+        self.included_again: dict[str, tuple[float, float]] = {}
 
     @property
-    def out(self) -> set[str]:
-        """The ids that are out, listed or not."""
-        return {hop for hop, word in self.words.items() if word.out}
+    def excluded(self) -> set[str]:
+        """The excluded ids, listed or not."""
+        return {hop for hop, override in self.overrides.items() if override.excluded}
 
-    def listed_out(self) -> set[str]:
-        """Those of them that are listed."""
-        return self.out & self.routes.keys()
+    def listed_excluded(self) -> set[str]:
+        """The excluded ids that are listed."""
+        return self.excluded & self.routes.keys()
 
-    def told(self, routes: RouteSet) -> RouteSet:
-        """Takes in what discovery says; returns what the ingress is to go by."""
+    def apply(self, routes: RouteSet) -> RouteSet:
+        """Records a route set from discovery; returns it with the overrides applied."""
         if routes.complete:
             self.routes = {}
         for route in routes.routes:
@@ -52,62 +52,68 @@
                 self.routes.pop(route.hop, None)
             else:
                 self.routes[route.hop] = route
-                self._see(route.hop)
+                self._remember_id(route.hop)
         if routes.complete:
-            self.returned = {hop: when for hop, when in self.returned.items() if hop in self.routes}
-        return replace(routes, routes=tuple(self._shown(route) for route in routes.routes))
-
-    def say(self, hop: str, out: bool, now: float) -> str:
-        """A call, out or back; the fault is returned where it can't be done. `change` shows what follows."""
-        word = self.words.get(hop)
-        if hop not in self.seen and word is None:
+            self.included_again = {
+                hop: times for hop, times in self.included_again.items() if hop in self.routes
+            }
+        return replace(routes, routes=tuple(self._overridden(route) for route in routes.routes))
+
+    def set_excluded(self, hop: str, excluded: bool, now: float) -> str:
+        """Excludes or includes a next hop; returns why it can't be done, or nothing. See `change`."""
+        before = self.overrides.get(hop)
+        if hop not in self.known_ids and before is None:
             return f"{hop} was never listed"
-        if out and not (word is not None and word.out) and len(self.out) >= MOST_OUT:
-            return f"{MOST_OUT} next hops are out already"
-        if word is None or word.out != out:
-            # the clock may have been put back since the word before, which this one must follow
-            now = now if word is None else max(now, word.at + 0.001)
-            went = now if out else (0.0 if word is None else word.went)
-            self.hear(hop, Word(out, now, went))
+        if excluded and not (before is not None and before.excluded) and len(self.excluded) >= MAX_EXCLUDED:
+            return f"{MAX_EXCLUDED} next hops are out already"
+        if before is None or before.excluded != excluded:
+            # The clock may have been set back since the previous override, which this one must follow.
+            now = now if before is None else max(now, before.at + 0.001)
+            excluded_at = now if excluded else (0.0 if before is None else before.excluded_at)
+            self.merge(hop, Override(excluded, now, excluded_at))
         return ""
 
-    def hear(self, hop: str, word: Word) -> bool:
-        """Takes a word in, also one that another process was told; false where a later one is known."""
-        before = self.words.get(hop)
-        if before is not None and before.at >= word.at:
+    def merge(self, hop: str, override: Override) -> bool:
+        """Takes in an override, possibly one from another process, unless a later one is known.
+
+        True if it changes whether the next hop is excluded.
+        """
+        before = self.overrides.get(hop)
+        if before is not None and before.at >= override.at:
             return False
-        self.returned.pop(hop, None)
-        if word.went and not word.out:
-            self.returned[hop] = (word.went, word.at)
-        self.words[hop] = word
-        self.words.move_to_end(hop)
-        while len(self.words) > 2 * MOST_OUT:  # words back are of no more use after a while
-            back = next((name for name, one in self.words.items() if not one.out), None)
-            if back is None:
+        self.included_again.pop(hop, None)
+        if override.excluded_at and not override.excluded:
+            self.included_again[hop] = (override.excluded_at, override.at)
+        self.overrides[hop] = override
+        self.overrides.move_to_end(hop)
+        # Drops the oldest inclusions, which are of no use after a while.
+        while len(self.overrides) > 2 * MAX_EXCLUDED:
+            included = next((name for name, one in self.overrides.items() if not one.excluded), None)
+            if included is None:
                 break
-            del self.words[back]
-        return before is None or before.out != word.out
+            del self.overrides[included]
+        return before is None or before.excluded != override.excluded
 
     def change(self, hop: str) -> RouteSet | None:
-        """What the ingress is to be told after a word on a next hop; None where it isn't listed."""
+        """The change of the route set after an override; None if the next hop isn't listed."""
         route = self.routes.get(hop)
-        return None if route is None else RouteSet(0, False, (self._shown(route),))
+        return None if route is None else RouteSet(0, False, (self._overridden(route),))
 
-    def _shown(self, route: Route) -> Route:
-        word = self.words.get(route.hop)
-        if word is not None and word.out and route.phase is Phase.SERVING:
+    def _overridden(self, route: Route) -> Route:
+        override = self.overrides.get(route.hop)
+        if override is not None and override.excluded and route.phase is Phase.SERVING:
             return replace(route, phase=Phase.DRAINING)
-        went, came = self.returned.get(route.hop, (0.0, 0.0))
-        if not came or route.phase is not Phase.SERVING:
+        excluded_at, included_at = self.included_again.get(route.hop, (0.0, 0.0))
+        if not included_at or route.phase is not Phase.SERVING:
             return route
-        if route.up_since is not None and route.up_since >= went:
-            del self.returned[route.hop]  # discovery tells of the restart itself
+        if route.up_since is not None and route.up_since >= excluded_at:
+            del self.included_again[route.hop]  # discovery has reported the restart
             return route
-        # It was restarted while it was out, and discovery's word of that is late: cold is the safe reading.
-        return replace(route, up_since=came)
-
-    def _see(self, hop: str) -> None:
-        self.seen[hop] = None
-        self.seen.move_to_end(hop)
-        if len(self.seen) > MOST_SEEN:
-            self.seen.popitem(last=False)
+        # It may have been restarted while excluded, which discovery reports late: assume that it is cold.
+        return replace(route, up_since=included_at)
+
+    def _remember_id(self, hop: str) -> None:
+        self.known_ids[hop] = None
+        self.known_ids.move_to_end(hop)
+        if len(self.known_ids) > MAX_KNOWN_IDS:
+            self.known_ids.popitem(last=False)
--- a/standflow/ops/server.py
+++ b/standflow/ops/server.py
@@ -1,8 +1,8 @@
-"""The operators' listener: HTTP/1.1 through h11, one call a connection. It decides nothing.
+"""The operators' listener: HTTP/1.1 through h11, one call per connection. It makes no decisions.
 
-Its descriptors are served first in each round of the loop, and its calls are few and small, so that an answer
-does not wait behind the callers' work. A connection without a whole call holds its place for a few seconds at
-most, and gives way, the oldest first, to one that comes after it.
+Its descriptors are served first in each iteration of the loop, and its calls are few and small, so that an
+answer does not wait behind client traffic. A connection without a complete call is closed after a few
+seconds, or earlier, the oldest first, to make room for a new one.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 from standflow.net.momentary import at_start
 from standflow.ops.calls import Answer
 
-MOST_CALLS = 32  # connections at once
-DESCRIPTORS = MOST_CALLS + 2  # with the listener, and one that is accepted before another ends
+MAX_CALLS = 32  # connections at once
+DESCRIPTORS = MAX_CALLS + 2  # with the listener, and one that is accepted before another is closed
 BACKLOG = 64  # connections that may wait to be accepted
-MOST_ACCEPTED = 16  # in a round
+MAX_ACCEPTS = 16  # in one iteration of the loop
 ACCEPT_PAUSE = 0.1  # seconds without accepting when no descriptor is left
-PATIENCE = 5.0  # seconds in which a call has come whole
-LINGER = 0.5  # seconds for the answer to arrive before the connection is closed over what was not read
-MOST_HEAD = 8192  # bytes
-MOST_BODY = 65536  # bytes; no call needs any
+CALL_TIMEOUT = 5.0  # seconds for a complete call to arrive, and for its answer to be written
+LINGER = 0.5  # seconds for the client to close first, so that unread bytes don't reset the answer
+MAX_HEAD_BYTES = 8192
+MAX_BODY_BYTES = 65536  # no call needs a body
 READ_SIZE = 16384
 
 
 class Server:
-    """Accepts connections and answers each one call."""
+    """Accepts connections and answers one call on each."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         address: tuple[str, int],
         answer: Callable[[str, str], Answer],
     ) -> None:
-        """`answer`: a method and a target in, what to say out. OSError where the address can't be had."""
+        """`answer` maps a method and a target to an answer. OSError if the address can't be bound."""
         self.loop, self.log, self.answer = loop, log, answer
         self.accepting = True
         self.calls: OrderedDict[Task, None] = OrderedDict()  # the oldest first
@@ -51,7 +51,7 @@
         self.listener = loop.spawn(self.sock.fileno(), self._listen())
 
     def close(self) -> None:
-        """Ends all of it at once."""
+        """Closes the listener and all connections."""
         for task in [self.listener, *self.calls]:
             self.loop.end(task)
 
@@ -66,16 +66,16 @@
     def _accept_on(self) -> Coroutine[None]:
         while True:
             yield IN if self.accepting else 0
-            for _ in range(MOST_ACCEPTED if self.accepting else 0):
+            for _ in range(MAX_ACCEPTS if self.accepting else 0):
                 if not self._accept():
                     break
 
-    def _go_on(self) -> None:
+    def _resume_accepting(self) -> None:
         self.accepting = True
         self.loop.watch(self.listener, IN)
 
     def _accept(self) -> bool:
-        while len(self.calls) >= MOST_CALLS:
+        while len(self.calls) >= MAX_CALLS:
             self.loop.end(next(iter(self.calls)))
         try:
             sock, _ = self.sock.accept()
@@ -85,9 +85,9 @@
             return False
         except OSError as error:
             self.log(f"ops: accept: {error}")
-            if not self.calls:  # the listener stays ready: without a pause the loop would spin on it
+            if not self.calls:  # the listener stays readable: without a pause the loop would spin
                 self.accepting = False
-                self.loop.call_later(ACCEPT_PAUSE, self._go_on)
+                self.loop.call_later(ACCEPT_PAUSE, self._resume_accepting)
                 return False
             self.loop.end(next(iter(self.calls)))
             return True
@@ -95,74 +95,76 @@
         self.loop.first.add(sock.fileno())
         call = Call(self, sock)
         try:
-            task = call.task = self.loop.spawn(sock.fileno(), call.live())
+            task = call.task = self.loop.spawn(sock.fileno(), call.run())
         except OSError as error:
             self.log(f"ops: {error}")
             self.loop.first.discard(sock.fileno())
             sock.close()
             return True
-        if not call.over:
+        if not call.closed:
             self.calls[task] = None
         return True
 
 
 class Call:
-    """One connection and the one call on it."""
+    """One connection and its call."""
 
     def __init__(self, server: Server, sock: socket.socket) -> None:
         self.server, self.sock = server, sock
         self.task: Task | None = None
-        self.over = False
-        self.made = server.loop.now()
-        self.what = "-"
+        self.closed = False
+        self.accepted_at = server.loop.now()
+        self.description = "-"  # for the log: method, target and status
 
-    def live(self) -> Coroutine[None]:
-        """Its whole life; it leaves one line in the log."""
+    def run(self) -> Coroutine[None]:
+        """Serves the connection and writes one line to the log when it is closed."""
         number, reason = self.sock.fileno(), "cap"
         try:
             reason = yield from self._serve()
         except OSError as error:
             reason = broken(error)
         finally:
-            self.over = True
+            self.closed = True
             if self.task is not None:
                 self.server.calls.pop(self.task, None)
             self.server.loop.first.discard(number)
             self.sock.close()
-            age = self.server.loop.now() - self.made
-            self.server.log(f"end ops {reason} {self.what} age={age:.2f}")
+            age = self.server.loop.now() - self.accepted_at
+            self.server.log(f"end ops {reason} {self.description} age={age:.2f}")
 
     def _serve(self) -> Coroutine[str]:
-        http = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
-        end, size = self.made + PATIENCE, 0
+        http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
+        end, size = self.accepted_at + CALL_TIMEOUT, 0
         request: h11.Request | None = None
         while True:
             try:
                 event = http.next_event()
             except h11.RemoteProtocolError as error:
-                return (yield from self._say(http, Answer(error.error_status_hint, f"{error}\n"), "bad_http"))
+                return (
+                    yield from self._reply(http, Answer(error.error_status_hint, f"{error}\n"), "bad_http")
+                )
             if event is h11.NEED_DATA:
                 if http.they_are_waiting_for_100_continue:
                     self.sock.send(http.send(h11.InformationalResponse(status_code=100, headers=[])) or b"")
                 data = yield from self._read(end)
                 if data is None:
-                    return (yield from self._say(http, Answer(408, "no whole call in time\n"), "silent"))
+                    return (yield from self._reply(http, Answer(408, "no whole call in time\n"), "silent"))
                 http.receive_data(data)
             elif isinstance(event, h11.Request):
                 request = event
             elif isinstance(event, h11.Data):
                 size += len(event.data)
-                if size > MOST_BODY:
-                    return (yield from self._say(http, Answer(413, "too large\n"), "too_large"))
+                if size > MAX_BODY_BYTES:
+                    return (yield from self._reply(http, Answer(413, "too large\n"), "too_large"))
             elif isinstance(event, h11.EndOfMessage) and request is not None:
                 method, target = request.method.decode("ascii"), request.target.decode("latin-1")
-                self.what = f"{method} {target[:80]!r}"
-                return (yield from self._say(http, self.server.answer(method, target), "answered"))
+                self.description = f"{method} {target[:80]!r}"
+                return (yield from self._reply(http, self.server.answer(method, target), "answered"))
             else:
                 return "peer_closed"
 
     def _read(self, end: float) -> Coroutine[bytes | None]:
-        """What has come, empty at the end of it; None where nothing comes in time."""
+        """The bytes that have arrived, empty at the end of the stream; None if nothing arrives in time."""
         loop = self.server.loop
         while True:
             with contextlib.suppress(BlockingIOError):
@@ -171,7 +173,7 @@
             if left <= 0 or (yield from loop.wait(IN, left)) == TICK:
                 return None
 
-    def _say(self, http: h11.Connection, answer: Answer, reason: str) -> Coroutine[str]:
+    def _reply(self, http: h11.Connection, answer: Answer, reason: str) -> Coroutine[str]:
         body, loop = answer.text.encode(), self.server.loop
         headers = [
             ("Content-Type", "text/plain; charset=utf-8"),
@@ -185,16 +187,16 @@
             return reason
         parts = (http.send(response), http.send(h11.Data(data=body)), http.send(h11.EndOfMessage()))
         out = memoryview(b"".join(part or b"" for part in parts))
-        end = loop.now() + PATIENCE
+        end = loop.now() + CALL_TIMEOUT
         while out:
             try:
                 out = out[self.sock.send(out) :]
             except BlockingIOError:
                 if (yield from loop.wait(OUT, max(0.0, end - loop.now()))) == TICK:
                     return "slow_reader"
-        self.what += f" {answer.status}"
-        # Closing over unread bytes would take the answer back.
-        with contextlib.suppress(OSError):  # it may be gone already
+        self.description += f" {answer.status}"
+        # Closing a socket with unread bytes sends a reset, which could discard the answer at the client.
+        with contextlib.suppress(OSError):  # the client may have closed already
             self.sock.shutdown(socket.SHUT_WR)
             end = loop.now() + LINGER
             while (yield from self._read(end)):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -273,7 +273,7 @@
             other.logged(r"fleet: place 0: present -> suspected")
             started[0].signal(signal.SIGCONT)
             started.append(Ingress(tmp_path / "0.conf", (listener.fileno(),), environment))
-            started[1].logged("took over what the process before knows")
+            started[1].logged("took over the state of the previous process")
             other.logged(r"fleet: place 0: .* -> present in a new life")
             assert started[0].end() == 0  # it sends nothing, so the member does not leave with it
             wait_for(lambda: metric(other, "fleet.present") == 2)
--- a/tests/test_handshakes.py
+++ b/tests/test_handshakes.py
@@ -436,10 +436,10 @@
     limited.until(lambda: limited.published_hops() == ["tt-07"] and tls_rig.box.counts.full == 1)
     # one connection is ready, and there is no slot for another
     first, second = tls_rig.send(), tls_rig.send()
-    limited.until(lambda: second.ended is not None)
-    assert second.ended is Outcome.MOOT
-    limited.until(lambda: first.ended is not None)
-    assert first.ended is Outcome.OK
+    limited.until(lambda: second.outcome is not None)
+    assert second.outcome is Outcome.MOOT
+    limited.until(lambda: first.outcome is not None)
+    assert first.outcome is Outcome.OK
     assert limited.limiter.denied == 1
     # the refused branch makes the limiter open another one at its next slot, well after the first
     limited.until(lambda: tls_rig.box.counts.connections == 2)
@@ -483,8 +483,8 @@
     limited.until(lambda: tls_rig.ends().count("cut_off") == 4)
     assert limited.published_hops() == []
     branch = tls_rig.send()
-    limited.until(lambda: branch.ended is not None)
-    assert branch.ended is Outcome.CONNECT_FAILED
+    limited.until(lambda: branch.outcome is not None)
+    assert branch.outcome is Outcome.CONNECT_FAILED
     tls_rig.box.mode = Mode()
     limited.until(lambda: limited.published_hops() == ["tt-07"])
 
@@ -495,11 +495,11 @@
     limited.until(lambda: limited.published_hops() == ["tt-07"])
     tls_rig.box.mode.silent = True
     busy = tls_rig.send()
-    limited.until(lambda: busy.carrier.whole)
+    limited.until(lambda: busy.context.whole)
     tls_rig.streams.reload(tls_rig.streams.options)
     tls_rig.box.mode = Mode()
     limited.until(lambda: tls_rig.ends().count("rotated") == 2)
-    assert busy.ended is None  # on the old material, and it stays until it is done
+    assert busy.outcome is None  # on the old material, and it stays until it is done
     assert {one.stream.generation for one in tls_rig.side.hops["tt-07"].idle} == {2}
     assert tls_rig.ask() is Outcome.OK
     tls_rig.at.exchange.cancel(busy.transaction.name, busy.number)
@@ -532,8 +532,8 @@
     limited.until(lambda: not tls_rig.side.hops["tt-07"].connections)
     assert limited.limits.is_restart_suspected("tt-07", limited.rig.at.loop.now())
     branch = tls_rig.send()
-    limited.until(lambda: branch.ended is not None)
-    assert branch.ended in (Outcome.MOOT, Outcome.OK)  # depends on the current slot
+    limited.until(lambda: branch.outcome is not None)
+    assert branch.outcome in (Outcome.MOOT, Outcome.OK)  # depends on the current slot
     limited.until(lambda: tls_rig.streams.resumed + tls_rig.streams.full > done)
     if tls_rig.streams.resumed > before:  # a resumed session shows that it was no restart
         assert not limited.limits.is_restart_suspected("tt-07", limited.rig.at.loop.now())
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,4 +1,4 @@
-"""The operators' calls, the overlay of next hops out by hand, and an ingress that is emptied."""
+"""The operators' calls, the overlay of next hops excluded by hand, and the evacuation of an ingress."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from standflow.exchange import Ends, Phase, Route, RouteSet
+from standflow.exchange import Phase, Route, RouteSet, TransactionCounts
 from standflow.net.client_side import PRESS
 from standflow.net.loop import IN, Coroutine, Loop
 from standflow.net.nexthop import REST
 from standflow.ops import figures, server
 from standflow.ops.calls import Answer, Calls
-from standflow.ops.overlay import MOST_OUT, Overlay
+from standflow.ops.overlay import MAX_EXCLUDED, Overlay
 from tests.wire import LIMIT, Program, command, config, listener, member, program, read_until, turn_until
 
 VALUE = b"*3\r\n$5\r\nva\r\nl\r\n$-1\r\n$-1\r\n"
@@ -52,7 +52,7 @@
     return int(head.split()[1]), body.decode()
 
 
-def shown(running: Program) -> dict[str, int]:
+def telemetry(running: Program) -> dict[str, int]:
     lines = ask(running, "GET", "/api/telemetry")[1].split()
     return {name: int(value) for name, value in (line.split("=") for line in lines)}
 
@@ -61,29 +61,29 @@
     return config(ops="127.0.0.1:0", **changes)
 
 
-def serve(caller: socket.socket, at_hop: socket.socket, ident: str) -> None:
-    caller.sendall(command(ident))
+def serve(client: socket.socket, at_hop: socket.socket, ident: str) -> None:
+    client.sendall(command(ident))
     read_until(at_hop, b"first=0\r\n")
     at_hop.sendall(VALUE)
-    assert read_until(caller, b"l\r\n").startswith(b"$5")
+    assert read_until(client, b"l\r\n").startswith(b"$5")
 
 
-class Staff:
-    """Says yes to all and remembers what was asked."""
+class RecordingOperators:
+    """Accepts every call and records it."""
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
+        self.calls: list[str] = []
 
     def __getattr__(self, name: str) -> Any:
         def call(*args: str) -> str:
-            self.asked.append(" ".join((name, *args)))
+            self.calls.append(" ".join((name, *args)))
             return ""
 
         return call
 
 
 @pytest.mark.parametrize(
-    ("method", "target", "status", "asked"),
+    ("method", "target", "status", "expected"),
     [
         ("GET", "/api/ready", 200, "ready"),
         ("POST", "/api/exclude/s-1", 200, "exclude s-1"),
@@ -98,18 +98,20 @@
         ("GET", "/", 404, None),
     ],
 )
-def test_each_call_by_its_method_and_path(method: str, target: str, status: int, asked: str | None) -> None:
-    staff = Staff()
-    assert Calls(staff).answer(method, target).status == status
-    assert staff.asked == ([] if asked is None else [asked])
+def test_each_call_is_selected_by_method_and_path(
+    method: str, target: str, status: int, expected: str | None
+) -> None:
+    operators = RecordingOperators()
+    assert Calls(operators).answer(method, target).status == status
+    assert operators.calls == ([] if expected is None else [expected])
 
 
 def test_the_figures_text_has_one_figure_a_line() -> None:
-    ends = {"view": Ends(9, 4, 2, 1, 1), "change": Ends()}
-    text = figures.text(figures.Figures(figures.Counts(ends, 7, 1, 1, 0), 5, 2))
+    counts = {"view": TransactionCounts(9, 4, 2, 1, 1), "change": TransactionCounts()}
+    text = figures.text(figures.Figures(figures.Counts(counts, 7, 1, 1, 0), 5, 2))
     assert text.startswith("results.change.succeeded=0\nresults.change.declined=0\n")
     assert "results.view.succeeded=4\nresults.view.declined=2\nresults.view.aborted=1\nforwards=7\n" in text
-    assert ends["view"].open == 1
+    assert counts["view"].open == 1
 
 
 def route(hop: str, phase: Phase = Phase.SERVING, up: float | None = None) -> Route:
@@ -118,106 +120,108 @@
 
 STEPS = st.lists(
     st.one_of(
-        st.tuples(st.just("say"), st.sampled_from("abc"), st.booleans()),
-        st.tuples(st.just("told"), st.sampled_from("abc"), st.sampled_from(list(Phase))),
-        st.tuples(st.just("whole"), st.sets(st.sampled_from("abc")), st.just(Phase.SERVING)),
+        st.tuples(st.just("override"), st.sampled_from("abc"), st.booleans()),
+        st.tuples(st.just("change"), st.sampled_from("abc"), st.sampled_from(list(Phase))),
+        st.tuples(st.just("complete"), st.sets(st.sampled_from("abc")), st.just(Phase.SERVING)),
     ),
     max_size=30,
 )
 
 
 @given(STEPS)
-def test_what_is_shown_is_the_truth_of_now_with_what_is_out_laid_over(steps: list[Any]) -> None:
-    overlay, truth, out, ever = Overlay(), dict[str, Phase](), set[str](), set[str]()
-    seen: dict[str, Phase] = {}
+def test_the_overlay_shows_the_current_route_set_with_excluded_next_hops_draining(steps: list[Any]) -> None:
+    overlay, discovered, excluded, known_ids = Overlay(), dict[str, Phase](), set[str](), set[str]()
+    shown: dict[str, Phase] = {}
 
-    def take(routes: RouteSet) -> None:
+    def show(routes: RouteSet) -> None:
         if routes.complete:
-            seen.clear()
+            shown.clear()
         for one in routes.routes:
-            seen.pop(one.hop, None)
+            shown.pop(one.hop, None)
             if one.phase is not Phase.GONE:
-                seen[one.hop] = one.phase
+                shown[one.hop] = one.phase
 
     for now, (step, what, how) in enumerate(steps, 1):
-        if step == "say":
-            assert bool(overlay.say(what, how, float(now))) == (what not in ever)
-            if what in ever:
-                (out.add if how else out.discard)(what)
+        if step == "override":
+            assert bool(overlay.set_excluded(what, how, float(now))) == (what not in known_ids)
+            if what in known_ids:
+                (excluded.add if how else excluded.discard)(what)
             if (change := overlay.change(what)) is not None:
-                take(change)
-        elif step == "told":
-            take(overlay.told(RouteSet(now, False, (route(what, how),))))
-            truth.pop(what, None)
+                show(change)
+        elif step == "change":
+            show(overlay.apply(RouteSet(now, False, (route(what, how),))))
+            discovered.pop(what, None)
             if how is not Phase.GONE:
-                truth[what] = how
-                ever.add(what)
+                discovered[what] = how
+                known_ids.add(what)
         else:
-            take(overlay.told(RouteSet(now, True, tuple(route(hop) for hop in sorted(what)))))
-            truth = dict.fromkeys(what, Phase.SERVING)
-            ever |= what
-        assert seen == {hop: Phase.DRAINING if hop in out else phase for hop, phase in truth.items()}
-        assert overlay.listed_out() == out & truth.keys()
+            show(overlay.apply(RouteSet(now, True, tuple(route(hop) for hop in sorted(what)))))
+            discovered = dict.fromkeys(what, Phase.SERVING)
+            known_ids |= what
+        assert shown == {
+            hop: Phase.DRAINING if hop in excluded else phase for hop, phase in discovered.items()
+        }
+        assert overlay.listed_excluded() == excluded & discovered.keys()
 
 
-def test_back_by_hand_is_cold_from_then_until_discovery_tells_of_the_restart() -> None:
+def test_a_next_hop_included_again_counts_as_cold_until_discovery_reports_its_restart() -> None:
     overlay = Overlay()
-    overlay.told(RouteSet(1, True, (route("a", up=5.0),)))
-    assert overlay.say("a", True, 100.0) == ""
-    assert overlay.say("a", True, 101.0) == ""  # twice is once
-    overlay.say("a", False, 110.0)
+    overlay.apply(RouteSet(1, True, (route("a", up=5.0),)))
+    assert overlay.set_excluded("a", True, 100.0) == ""
+    assert overlay.set_excluded("a", True, 101.0) == ""  # a repeated call changes nothing
+    overlay.set_excluded("a", False, 110.0)
     late = RouteSet(2, True, (route("a", up=5.0),))
-    assert overlay.told(late).routes[0].up_since == 110.0
-    assert overlay.told(replace(late, routes=(route("a", up=104.0),))).routes[0].up_since == 104.0
-    assert overlay.told(late).routes[0].up_since == 5.0  # its word holds from then on
+    assert overlay.apply(late).routes[0].up_since == 110.0
+    assert overlay.apply(replace(late, routes=(route("a", up=104.0),))).routes[0].up_since == 104.0
+    assert overlay.apply(late).routes[0].up_since == 5.0  # from then on discovery is followed
 
 
-def test_no_more_than_so_many_are_out() -> None:
+def test_the_number_of_excluded_next_hops_is_limited() -> None:
     overlay = Overlay()
-    overlay.told(RouteSet(1, True, tuple(route(f"s{n}") for n in range(MOST_OUT + 1))))
-    faults = [overlay.say(f"s{n}", True, float(n)) for n in range(MOST_OUT + 1)]
-    assert [n for n, fault in enumerate(faults) if fault] == [MOST_OUT]
+    overlay.apply(RouteSet(1, True, tuple(route(f"s{n}") for n in range(MAX_EXCLUDED + 1))))
+    errors = [overlay.set_excluded(f"s{n}", True, float(n)) for n in range(MAX_EXCLUDED + 1)]
+    assert [n for n, error in enumerate(errors) if error] == [MAX_EXCLUDED]
 
 
-def test_a_next_hop_out_by_hand_gets_nothing_and_is_used_again_when_back(tmp_path: Path) -> None:
+def test_an_excluded_next_hop_gets_no_requests_until_it_is_included_again(tmp_path: Path) -> None:
     with listener() as hop:
         known = {"revision": 1, "complete": True, "members": [member(hop.getsockname())]}
         with program(tmp_path, with_ops(known=known)) as running:
-            caller = running.call()
-            caller.sendall(command("aa01"))
+            client = running.call()
+            client.sendall(command("aa01"))
             first = hop.accept()[0]
             first.settimeout(LIMIT)
             read_until(first, b"first=0\r\n")
             assert ask(running, "POST", "/api/exclude/s-2") == (404, "s-2 was never listed\n")
             assert ask(running, "POST", "/api/exclude/s-1") == (200, "yes\n")
-            first.sendall(VALUE)  # what is open may finish
-            assert read_until(caller, b"l\r\n").startswith(b"$5")
+            first.sendall(VALUE)  # an open request may finish
+            assert read_until(client, b"l\r\n").startswith(b"$5")
             assert first.recv(10) == b""  # and the connection is not kept
-            caller.sendall(command("aa02"))
-            assert read_until(caller, b"\r\n").startswith(b"-BUSY ")
-            figures = shown(running)
+            client.sendall(command("aa02"))
+            assert read_until(client, b"\r\n").startswith(b"-BUSY ")
+            figures = telemetry(running)
             assert (figures["discovered"], figures["ejected"], figures["forwards"]) == (1, 1, 1)
             assert figures["results.look.succeeded"] == figures["results.look.declined"] == 1
             assert ask(running, "POST", "/api/include/s-1")[0] == 200
             hop.settimeout(0.05)
-            for turn in range(200):  # it is cold: credit for it grows from nought
-                caller.sendall(command(f"ab{turn}"))
+            for number in range(200):  # it is cold: its credit grows from zero
+                client.sendall(command(f"ab{number}"))
                 try:
                     again = hop.accept()[0]
                     break
                 except TimeoutError:
-                    assert read_until(caller, b"\r\n").startswith(b"-BUSY ")
+                    assert read_until(client, b"\r\n").startswith(b"-BUSY ")
             again.settimeout(LIMIT)
             read_until(again, b"first=0\r\n")
             again.sendall(VALUE)
-            assert read_until(caller, b"l\r\n").startswith(b"$5")
-            assert shown(running)["ejected"] == 0
+            assert read_until(client, b"l\r\n").startswith(b"$5")
+            assert telemetry(running)["ejected"] == 0
 
 
-def test_calls_are_answered_while_many_connections_hold_half_a_call(tmp_path: Path) -> None:
+def test_calls_are_answered_while_many_connections_hold_a_partial_call(tmp_path: Path) -> None:
     with program(tmp_path, with_ops()) as running:
         running.logged("ready n0")
-        held = [dial(running) for _ in range(2 * server.MOST_CALLS)]
+        held = [dial(running) for _ in range(2 * server.MAX_CALLS)]
         for sock in held:
             sock.sendall(b"GET /api/ready HT")
         assert ask(running, "GET", "/api/ready") == (200, "yes\n")
@@ -235,7 +239,7 @@
             sock.close()
 
 
-def test_an_emptied_ingress_says_no_serves_what_comes_and_ends_each_leg(tmp_path: Path) -> None:
+def test_an_evacuated_ingress_fails_health_checks_and_closes_connections_once_served(tmp_path: Path) -> None:
     with listener() as hop:
         known = {"revision": 1, "complete": True, "members": [member(hop.getsockname())]}
         with program(tmp_path, with_ops(known=known)) as running:
@@ -253,7 +257,7 @@
             late.sendall(PING)
             assert read_until(late, b"\r\n") == b"-ERR evacuated\r\n"
             assert late.recv(10) == b""
-            busy.sendall(command("aa02"))  # taken while its connection has something open
+            busy.sendall(command("aa02"))  # accepted while its connection has an open request
             second = hop.accept()[0]
             second.settimeout(LIMIT)
             read_until(second, b"first=0\r\n")
@@ -262,7 +266,7 @@
             assert read_until(busy, b"l\r\n$5\r\nva\r\nl\r\n")
             assert busy.recv(10) == b""
             silent = running.call()
-            assert silent.recv(10) == b""  # whoever asks nothing is not kept
+            assert silent.recv(10) == b""  # a connection without a command is closed
             assert ask(running, "GET", "/api/ready")[0] == 200
             assert ask(running, "POST", "/api/rejoin") == (200, "yes\n")
             back = running.call()
@@ -272,13 +276,13 @@
             running.logged("(?:end caller drained(?:.|\n)*){4}")
 
 
-def test_a_connection_that_asks_on_and_on_is_ended_between_two_commands(tmp_path: Path) -> None:
+def test_a_connection_that_keeps_sending_is_closed_between_two_commands(tmp_path: Path) -> None:
     with listener() as hop:
         known = {"revision": 1, "complete": True, "members": [member(hop.getsockname())]}
         with program(tmp_path, with_ops(known=known)) as running:
-            caller, answered = running.call(), 0
+            client, answered = running.call(), 0
             at_hop: socket.socket | None = None
-            caller.sendall(command("a0"))
+            client.sendall(command("a0"))
             ask(running, "POST", "/api/evacuate")
             while True:
                 if at_hop is None:
@@ -286,36 +290,36 @@
                     at_hop.settimeout(LIMIT)
                 read_until(at_hop, b"first=0\r\n")
                 following = command(f"a{answered + 1}")
-                caller.sendall(following[:20])  # before each answer the next command has begun
+                client.sendall(following[:20])  # the next command starts before each answer
                 at_hop.sendall(VALUE)
-                assert read_until(caller, b"l\r\n") == b"$5\r\nva\r\nl\r\n"
+                assert read_until(client, b"l\r\n") == b"$5\r\nva\r\nl\r\n"
                 answered += 1
-                if select.select([caller], [], [], 0.1)[0]:
+                if select.select([client], [], [], 0.1)[0]:
                     break
-                caller.sendall(following[20:])
-            assert caller.recv(10) == b""
+                client.sendall(following[20:])
+            assert client.recv(10) == b""
             assert answered > 1
             assert running.logged(rf"end caller drained answered={answered} open=0")
-            late = running.call()  # after that one command is all that a connection is given
+            late = running.call()  # from then on a connection is served a single command
             late.sendall(PING + PING[:9])
             assert read_until(late, b"\r\n") == b"-ERR evacuated\r\n"
             assert late.recv(10) == b""
 
 
-def test_the_end_of_a_drained_connection_takes_no_answer_back(tmp_path: Path) -> None:
+def test_closing_a_drained_connection_loses_no_answer(tmp_path: Path) -> None:
     with listener() as hop:
         known = {"revision": 1, "complete": True, "members": [member(hop.getsockname())]}
         with program(tmp_path, with_ops(known=known)) as running:
-            caller = running.call()
-            caller.sendall(command("a0", d=20000))
+            client = running.call()
+            client.sendall(command("a0", d=20000))
             at_hop = hop.accept()[0]
             read_until(at_hop, b"first=0\r\n")
             ask(running, "POST", "/api/evacuate")
             time.sleep(PRESS + 0.2)
-            caller.sendall(command("a1"))  # too late to be served, and owed an answer all the same
+            client.sendall(command("a1"))  # too late to be served, but it must be answered
             at_hop.sendall(VALUE)
             answers = b""
-            while more := caller.recv(65536):
+            while more := client.recv(65536):
                 answers += more
             assert answers == b"$5\r\nva\r\nl\r\n-BUSY 100\r\n"
 
@@ -333,10 +337,10 @@
             read_until(at_hop, b"first=0\r\n")
             for call in ("evacuate", "rejoin", "rejoin"):
                 assert ask(running, "POST", f"/api/{call}")[0] == 200
-            time.sleep(PRESS + 0.2)  # the drain that was taken back presses nobody
+            time.sleep(PRESS + 0.2)  # the cancelled drain closes no connection
             at_hop.sendall(VALUE)
             assert read_until(busy, b"l\r\n").startswith(b"$5")
-            time.sleep(2 * REST)  # a connection rests after an answer
+            time.sleep(2 * REST)  # a connection is quarantined after an answer
             busy.sendall(command("aa02"))
             read_until(at_hop, b"first=0\r\n")
             assert ask(running, "POST", "/api/evacuate")[0] == 200
@@ -350,7 +354,7 @@
             assert running.process.wait(LIMIT) == 0
 
 
-def test_the_operators_events_come_first_in_a_round_however_many_wait() -> None:
+def test_the_operators_events_are_handled_first_however_many_wait() -> None:
     loop, order, pairs = Loop(print), list[int](), [socket.socketpair() for _ in range(60)]
 
     def wait(number: int, sock: socket.socket) -> Coroutine[None]:
@@ -370,10 +374,10 @@
     loop.epoll.close()
 
 
-def test_without_a_descriptor_left_the_listener_pauses_and_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_a_free_descriptor_the_listener_pauses_and_resumes(monkeypatch: pytest.MonkeyPatch) -> None:
     loop, log = Loop(print), list[str]()
     listening = server.Server(loop, log.append, ("127.0.0.1", 0), lambda method, target: Answer(200, "yes\n"))
-    with socket.create_connection(listening.address, LIMIT) as caller, monkeypatch.context() as patched:
+    with socket.create_connection(listening.address, LIMIT) as client, monkeypatch.context() as patched:
 
         def none_left(sock: socket.socket) -> None:
             raise OSError(errno.EMFILE, "Too many open files")
@@ -384,19 +388,19 @@
             loop.turn()
         assert len(log) == 1
         patched.undo()
-        caller.sendall(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-        turn_until(loop, lambda: select.select([caller], [], [], 0)[0])
-        assert caller.recv(100).startswith(b"HTTP/1.1 200")
+        client.sendall(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
+        turn_until(loop, lambda: select.select([client], [], [], 0)[0])
+        assert client.recv(100).startswith(b"HTTP/1.1 200")
     listening.close()
     loop.epoll.close()
 
 
-def test_without_a_place_for_them_nothing_of_the_calls_is_imported() -> None:
+def test_without_an_address_for_them_the_operators_calls_are_not_imported() -> None:
     code = "import sys, standflow.__main__; print([m for m in sys.modules if 'standflow.ops' in m])"
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, check=True).stdout == b"[]\n"
 
 
-def test_a_place_that_is_no_address_is_named(tmp_path: Path) -> None:
+def test_an_invalid_address_is_reported_with_its_key(tmp_path: Path) -> None:
     raw = with_ops() | {"ops": "nowhere"}
     with program(tmp_path, json.dumps(raw)) as running:
         assert running.process.wait(LIMIT) == 2
