--- a/standflow/assembly.py
+++ b/standflow/assembly.py
@@ -15,12 +15,12 @@
 from standflow.driver import Driver
 from standflow.exchange import Exchange, Route, RouteSet
 from standflow.net.client_side import ClientSide
-from standflow.net.flow import Flows
+from standflow.net.flow import FlowBudget
 from standflow.net.loop import Loop
-from standflow.net.nexthop import REST, NextHops
+from standflow.net.nexthop import COOL_DOWN, NextHops
 from standflow.net.peers import Peers
-from standflow.net.routes import Routes, read_routes, write_route
-from standflow.net.watch_timing import LAST_BACK_OFF
+from standflow.net.routes import RouteWatch, read_routes, write_route
+from standflow.net.watch_timing import MAX_BACK_OFF
 from standflow.reloading import Parts as ReloadParts
 from standflow.reloading import Reloading
 from standflow.shutdown import Shutdown, close_all
@@ -75,7 +75,7 @@
             settings.tick,
         )
         self.tls = self._make_tls()
-        make: dict[str, Any] = {} if self.tls is None else {"make": self.tls.make}
+        make: dict[str, Any] = {} if self.tls is None else {"make_stream": self.tls.make}
         self.next_hops = NextHops(
             loop,
             log,
@@ -84,15 +84,15 @@
             config.idle_limit,
             config.drain_grace,
             config.max_connections,
-            flows=Flows(config.max_flows),
-            rest=REST,
+            flows=FlowBudget(config.max_flows),
+            cool_down=COOL_DOWN,
             **make,
         )
         self.exchange.next_hops = self.next_hops
         self.tally.open = self.next_hops.open_connections
-        self.routes: Routes | None = None
+        self.routes: RouteWatch | None = None
         if config.discovery is not None:
-            self.routes = Routes(
+            self.routes = RouteWatch(
                 loop,
                 log,
                 config.discovery,
@@ -102,7 +102,7 @@
                 random.Random(config.seed),
                 self.tally,
                 # Where lists are pushed, what the agent has counts as told: no pause may outlast the grace.
-                min(LAST_BACK_OFF, config.drain_grace / 2) if settings.pushed_discovery else LAST_BACK_OFF,
+                min(MAX_BACK_OFF, config.drain_grace / 2) if settings.pushed_discovery else MAX_BACK_OFF,
             )
         self.peers: Peers | None = None
         self.driver = Driver(
@@ -158,7 +158,7 @@
                     self.driver.peer_told,
                     self.tally,
                     shared=config.passed is not None,
-                    open_to_all=config.fleet is not None and bool(config.fleet.seeds),
+                    accept_unlisted=config.fleet is not None and bool(config.fleet.seeds),
                 )
             self.member = self._make_member(self.peers)
 
@@ -172,20 +172,20 @@
 
         def send(to: int | tuple[str, int], content: bytes) -> None:
             if self.speaks:
-                peers.tell(to, content) if isinstance(to, int) else peers.send(to, content)
+                peers.send_message(to, content) if isinstance(to, int) else peers.send_to_address(to, content)
 
         def changed(snapshot: Snapshot) -> None:
             self.driver.fleet_seen(snapshot)
             if self.keeper is not None:
                 self.keeper.limits.sharers = len(snapshot.among)
 
-        parts = Parts(send=send, filled=peers.fill, changed=changed)
+        parts = Parts(send=send, filled=peers.assign_address, changed=changed)
         settings, chance = config.settings, random.Random(config.seed + 2)
         fleet, places = config.fleet, (settings.number, settings.gateways)
         member = Member(self.loop, self.log, fleet.name, *places, peers.address, fleet.seeds, chance, parts)
         if self.found is not None:
             member.remember(self.found.members)
-        peers.of_view, peers.heard = member.hear, member.ring
+        peers.handle_membership, peers.on_received = member.hear, member.ring
         member.speaks = self.speaks
         return member
 
@@ -291,8 +291,8 @@
         config, part = self.config, 2 if another else 1
         self.next_hops.max_connections = config.max_connections // part
         self.next_hops.flows.budget = config.max_flows // part
-        self.clients.bodies.budget = config.max_bodies // part
-        self.clients.values.budget = config.max_values // part
+        self.clients.body_budget.budget = config.max_bodies // part
+        self.clients.value_budget.budget = config.max_values // part
 
     def _make_reloading(self) -> Reloading:
         routes, tls, calls = self.routes, self.tls, self.witness or self.asking
@@ -367,7 +367,7 @@
         limits = Limits(options, warming, settings.gateways, settings.number, chance, self.driver.offset)
         keeper = Keeper(self.loop, self.log, limits, self.next_hops, self._show, options.ready)
         if tls is not None:
-            keeper.resumable, keeper.forget, tls.changed = tls.resumable, tls.forget, keeper.replace
+            keeper.resumable, keeper.forget, tls.on_change = tls.resumable, tls.forget, keeper.replace
         return keeper
 
     def _make_witness(self) -> Witness | None:
@@ -421,7 +421,7 @@
                 self.keeper.routes_told(known)
         else:
             if known is not None:
-                self.next_hops.routes_told(known)
+                self.next_hops.update_routes(known)
             self.driver.start(known)
         if found is not None and self.store is not None:
             self.store.parts.refill(found.windows)
@@ -451,7 +451,7 @@
                     self._listen_to_peers()
                 except ConfigError as error:  # the ring does without this ingress
                     self.log(f"fault: {error}")
-            self.clients.open()
+            self.clients.start_serving()
             self.log(f"ready {self.config.name} on {self.clients.address[0]}:{self.clients.address[1]}")
 
     def _routes_told(self, routes: RouteSet) -> None:
@@ -463,7 +463,7 @@
         if self.keeper is not None:
             self.keeper.routes_told(routes)
             return
-        self.next_hops.routes_told(routes)
+        self.next_hops.update_routes(routes)
         self.driver.routes_told(routes)
         self._ready()
 
@@ -475,11 +475,11 @@
 
     def _fetch(self) -> None:
         if self.routes is not None:
-            self.routes.fetch()
+            self.routes.refetch()
 
     def _tell(self, peer: int | None, content: bytes) -> None:
         if self.peers is not None and self.speaks:
-            self.peers.tell(peer, content)
+            self.peers.send_message(peer, content)
 
     def stop(self) -> None:
         """SIGTERM."""
@@ -498,5 +498,5 @@
             *(self.witness, self.asking, self.member, self.routes),
         )
         closes = [part.close for part in parts if part is not None]
-        last_counts = [] if self.tls is None else [self.tls.tell_counts]
+        last_counts = [] if self.tls is None else [self.tls.log_counts]
         close_all([self.tally.flush, *closes, *last_counts], self.log)
--- a/standflow/config/operators.py
+++ b/standflow/config/operators.py
@@ -31,7 +31,7 @@
 from standflow.config.reload import shape
 from standflow.config.schema import Block, Given, Reader, is_host
 from standflow.config.text import FileFaultError, Statement, Word, read_file
-from standflow.net.peers import NOWHERE
+from standflow.net.peers import NO_ADDRESS
 from standflow.net.routes import read_address
 
 FIELDS = ("id", "zone", "kind")
@@ -129,7 +129,7 @@
         witness=None if witness is None else _witness(witness),
         store=_store(block.block("store"), folder),
         fleet=None if fleet is None else FleetOptions(fleet.value("name"), seeds),
-        peers=(NOWHERE,) * config.settings.gateways if seeds else config.peers,
+        peers=(NO_ADDRESS,) * config.settings.gateways if seeds else config.peers,
         settings=replace(config.settings, witness=witness is not None, membership=fleet is not None),
         max_unread=limits.value("unread") if limits is not None else config.max_unread,
     )
--- a/standflow/counter/client.py
+++ b/standflow/counter/client.py
@@ -20,7 +20,7 @@
 
 import h11
 
-from standflow.net.loop import BROKEN, IN, OUT, Coroutine, Loop, Task, Timer, broken
+from standflow.net.loop import ERROR_EVENTS, IN, OUT, Coroutine, Loop, Task, Timer, error_reason
 
 READ_SIZE = 16384
 DIAL_LIMIT = 0.25  # seconds until a connection must be up
@@ -117,7 +117,7 @@
             try:
                 reason = self._advance(ready)
             except OSError as error:
-                return broken(error)
+                return error_reason(error)
             except h11.RemoteProtocolError:
                 return "bad_http"
             if reason:
@@ -127,7 +127,7 @@
     def _advance(self, ready: int) -> str:
         if ready & OUT:
             self.push()
-        if not ready & (IN | BROKEN):
+        if not ready & (IN | ERROR_EVENTS):
             return ""
         try:
             data = self.sock.recv(READ_SIZE)
@@ -235,7 +235,7 @@
             try:
                 connection.push()
             except OSError as error:
-                connection.reason = broken(error)
+                connection.reason = error_reason(error)
                 self._end(connection)
                 return
             if connection.task is not None:
@@ -312,7 +312,7 @@
         try:
             connection.task = self.loop.spawn(sock.fileno(), connection.live())
         except OSError as error:
-            connection.reason = broken(error)
+            connection.reason = error_reason(error)
             self.closed(connection)
             return best
         return connection
--- a/standflow/handshakes/keeper.py
+++ b/standflow/handshakes/keeper.py
@@ -10,7 +10,7 @@
 from standflow.handshakes.showing import Showing
 from standflow.net.backend_connection import Connection
 from standflow.net.loop import Loop, Timer
-from standflow.net.nexthop import OURS, NextHops
+from standflow.net.nexthop import LOCAL_REASONS, NextHops
 from standflow.net.stream import Stream
 from standflow.start_times import StartTimes
 
@@ -57,7 +57,7 @@
         now, wall = self.loop.now(), time.time()
         before = set(self.showing.known)
         passed = self.showing.told(routes, now + self.offset)
-        self.next_hops.routes_told(routes)
+        self.next_hops.update_routes(routes)
         for hop, known in self.showing.known.items():
             self.limits.told(hop, known.route.kind, self._started(known.route, now, wall), now)
         for hop in before - set(self.showing.known):
@@ -88,7 +88,7 @@
         self._look(hop)
         return Outcome.CONNECT_FAILED if answer is Answer.FAILING else Outcome.MOOT
 
-    def began(self, hop: str, stream: Stream) -> None:
+    def dial_started(self, hop: str, stream: Stream) -> None:
         """A connection is dialled."""
         self.limits.began(hop, _offered(stream), self.loop.now())
 
@@ -103,11 +103,13 @@
         elif figures is None:
             self.limits.succeeded(hop, offered, offered, 0.0, 0.0, now)
         else:
-            self.limits.succeeded(hop, offered, figures.resumed, figures.waited, figures.round_trip, now)
+            self.limits.succeeded(
+                hop, offered, figures.resumed, figures.wait_seconds, figures.round_trip, now
+            )
         # Not at once: a failed connection is still counted, and one that rests has yet to replace an old one.
         self.loop.call_later(0.0, self._look, hop)
 
-    def rested(self, connection: Connection) -> None:
+    def idle_ahead(self, connection: Connection) -> None:
         """A connection opened ahead is idle now: its next hop may be ready, or an old connection may go."""
         hop = connection.hop
         if len(hop.idle) >= self.want_ready and (shown := self.showing.ready(hop.route.hop)) is not None:
@@ -118,10 +120,10 @@
             if old is not None:
                 self.next_hops.end(old, "rotated")
 
-    def ended(self, connection: Connection) -> None:
+    def closed(self, connection: Connection) -> None:
         """A connection has ended; the last one lost throws doubt on its next hop."""
         hop = connection.hop
-        if connection.reason not in OURS and not any(one.up for one in hop.connections):
+        if connection.reason not in LOCAL_REASONS and not any(one.established for one in hop.connections):
             self.limits.lost(hop.route.hop, self.loop.now())
 
     def _ask(self, hop: str) -> Answer:
@@ -138,7 +140,7 @@
         known = self.showing.known.get(hop)
         if known is None or known.route.phase is not Phase.SERVING:
             return
-        waiting = not known.shown and not self.next_hops.ready(hop, self.want_ready)
+        waiting = not known.shown and not self.next_hops.has_idle(hop, self.want_ready)
         if not waiting and hop not in self.wanted and not self._old(hop):
             return
         now = self.loop.now()
@@ -148,7 +150,7 @@
                 self.timers[hop] = self.loop.call_later(NO_ROOM, self._look, hop)
                 return
             self.opened_ahead += 1
-            if not waiting or self.next_hops.ready(hop, self.want_ready):
+            if not waiting or self.next_hops.has_idle(hop, self.want_ready):
                 return  # how it ends brings the next look
             now = self.loop.now()
         when = self.limits.when(hop, self.resumable(known.route), now)
@@ -167,7 +169,7 @@
         One that is on its way up ahead of any branch is waited for, however long its handshake takes.
         """
         held = self.next_hops.hops.get(hop)
-        if held is None or any(not one.up and one.pending is None for one in held.connections):
+        if held is None or any(not one.established and one.pending is None for one in held.connections):
             return False
         return any(one.stream.generation != self.generation for one in held.idle)
 
@@ -183,4 +185,4 @@
 
 
 def _offered(stream: Stream) -> bool:
-    return stream.handshake is not None and stream.handshake.offered
+    return stream.handshake is not None and stream.handshake.session_offered
--- a/standflow/net/backend_connection.py
+++ b/standflow/net/backend_connection.py
@@ -14,38 +14,51 @@
 
 from standflow.exchange import Outcome, Result, Route
 from standflow.net import resp
-from standflow.net.flow import Flow, Flows
-from standflow.net.loop import BROKEN, IN, OUT, TICK, Coroutine, Loop, Task, broken
-from standflow.net.momentary import MOMENTARY_LACK
+from standflow.net.flow import Flow, FlowBudget
+from standflow.net.loop import ERROR_EVENTS, IN, NO_EVENT, OUT, Coroutine, Loop, Task, error_reason
 from standflow.net.stream import READ_SIZE, Stream
+from standflow.net.transient_errors import TRANSIENT_ERRORS
 
-STALL = 0.1  # seconds in which the rest of an answer follows its beginning
-SPOILT = frozenset(("bad_framing", "stalled"))  # it has answered, though nothing that can be read
-FLOW_STALL = 15.0  # seconds in which something more of a long value comes
+REPLY_STALL_TIMEOUT = 0.1  # seconds in which the rest of an answer follows its beginning
+UNREADABLE_REPLY = frozenset(("bad_framing", "stalled"))  # it has answered, though nothing that can be read
+VALUE_STALL_TIMEOUT = 15.0  # seconds in which something more of a long value comes
 # Why no connection came up for want of something of this machine's own.
-OWN_LACKS = frozenset(
-    f"connect_failed:{errno.errorcode[code]}" for code in MOMENTARY_LACK | {errno.EADDRNOTAVAIL, errno.EAGAIN}
+LOCAL_CONNECT_ERRORS = frozenset(
+    f"connect_failed:{errno.errorcode[code]}"
+    for code in TRANSIENT_ERRORS | {errno.EADDRNOTAVAIL, errno.EAGAIN}
 )
 
 
 class PendingCommand:
     """Something to ask of a next hop once; ended is called once, unless it is given up."""
 
-    __slots__ = ("begin", "begun", "connection", "counted", "decode", "encode", "ended", "until", "whole")
+    __slots__ = (
+        "on_value",
+        "write_started",
+        "connection",
+        "is_branch",
+        "decode",
+        "encode",
+        "on_result",
+        "deadline",
+        "fully_written",
+    )
 
     def __init__(
         self,
         encode: Callable[[], tuple[bytes, ...]],
         decode: Callable[[resp.Reply], Result],
-        ended: Callable[[Result], None],
+        on_result: Callable[[Result], None],
     ) -> None:
-        self.encode, self.decode, self.ended = encode, decode, ended
+        self.encode, self.decode, self.on_result = encode, decode, on_result
         self.connection: Connection | None = None
-        self.counted = False  # a branch, not a probe
-        self.begin: Callable[[Flow], bool] | None = None  # a long value begins; false where nobody wants it
-        self.until = math.inf  # from then on nothing of it may begin
-        self.begun = False  # its first byte may be written
-        self.whole = False  # its last one is
+        self.is_branch = False  # a branch, not a probe
+        self.on_value: Callable[[Flow], bool] | None = (
+            None  # a long value begins; false where nobody wants it
+        )
+        self.deadline = math.inf  # from then on nothing of it may begin
+        self.write_started = False  # its first byte may be written
+        self.fully_written = False  # its last one is
 
 
 class Admission(Protocol):
@@ -54,16 +67,16 @@
     def refusal(self, hop: str) -> Outcome | None:
         """None where a branch may dial now, else the outcome that it ends with."""
 
-    def began(self, hop: str, stream: Stream) -> None:
+    def dial_started(self, hop: str, stream: Stream) -> None:
         """A connection is dialled."""
 
     def opened(self, connection: Connection, reason: str | None) -> None:
         """It has come up (empty), failed (the reason) or was given up from here (None)."""
 
-    def rested(self, connection: Connection) -> None:
+    def idle_ahead(self, connection: Connection) -> None:
         """One that was opened ahead of any branch is idle."""
 
-    def ended(self, connection: Connection) -> None:
+    def closed(self, connection: Connection) -> None:
         """One that had come up has ended, for its `reason`."""
 
 
@@ -71,12 +84,12 @@
     """What a connection asks of the pool that it belongs to."""
 
     loop: Loop
-    flows: Flows
+    flows: FlowBudget
     dial_timeout: float
     admission: Admission | None
     forwards: int  # attempts whose command was written whole
 
-    def free(self, connection: Connection) -> None:
+    def release(self, connection: Connection) -> None:
         """It has carried its command."""
 
     def closed(self, connection: Connection) -> None:
@@ -86,235 +99,239 @@
 class Hop:
     """A next hop of the route set and the connections to it."""
 
-    __slots__ = ("connections", "idle", "route", "shut_at")
+    __slots__ = ("connections", "idle", "route", "writes_end_at")
 
     def __init__(self, route: Route) -> None:
         self.route = route
         self.connections: set[Connection] = set()
         self.idle: list[Connection] = []  # the one used last is last
-        self.shut_at: float | None = None  # from when on nothing new may be written
+        self.writes_end_at: float | None = None  # from when on nothing new may be written
 
 
 class Connection:
     """One connection: dialling, then busy and idle in turns, until it ends for a reason."""
 
     __slots__ = (
-        "buffer", "pending", "flow", "hop", "idle_since", "made", "mask", "parts", "reason", "served", "side",
-        "sock", "stream", "task", "up",
+        "buffer", "created_at", "established", "flow", "hop", "idle_since", "mask", "owner", "pending",
+        "reason", "reply_parts", "served", "sock", "stream", "task",
     )  # fmt: skip
 
-    def __init__(self, side: ConnectionOwner, hop: Hop, pending: PendingCommand | None) -> None:
-        self.side, self.hop = side, hop
+    def __init__(self, owner: ConnectionOwner, hop: Hop, pending: PendingCommand | None) -> None:
+        self.owner, self.hop = owner, hop
         self.pending: PendingCommand | None = pending
         self.buffer = resp.Buffer()
         self.flow: Flow | None = None  # the long value that is being passed on
-        self.parts = 0  # of the reply that it is of
+        self.reply_parts = 0  # of the reply that it is of
         self.mask = IN
         self.reason = "given_up"
         self.served = 0
-        self.up = False
-        self.made = side.loop.now()
-        self.idle_since = self.made
+        self.established = False
+        self.created_at = owner.loop.now()
+        self.idle_since = self.created_at
         self.sock: socket.socket
         self.stream: Stream
         self.task: Task | None = None
 
-    def live(self) -> Coroutine[None]:
+    def run(self) -> Coroutine[None]:
         """The whole life of the connection."""
         outcome, opening = Outcome.CONNECT_FAILED, True  # until a command may have been written
         try:
-            loop, address = self.side.loop, self.hop.route.address
-            failed = yield from loop.connect(self.sock, address, self.side.dial_timeout)
+            loop, address = self.owner.loop, self.hop.route.address
+            failed = yield from loop.connect(self.sock, address, self.owner.dial_timeout)
             failed = failed or (yield from self.stream.open())
             self.reason, opening = failed, False
-            self._opened(failed)
-            if failed in OWN_LACKS:  # it says nothing about the backend, which would be avoided for it
+            self._report_opened(failed)
+            if (
+                failed in LOCAL_CONNECT_ERRORS
+            ):  # it says nothing about the backend, which would be avoided for it
                 outcome = Outcome.MOOT
             if not failed:
                 self.reason = yield from self._serve()
         finally:
             if opening:
-                self._opened(None)
+                self._report_opened(None)
             pending, self.pending = self.pending, None
-            if pending is not None and pending.whole:
-                outcome = Outcome.ERROR if self.reason in SPOILT else Outcome.RESET
+            if pending is not None and pending.fully_written:
+                outcome = Outcome.ERROR if self.reason in UNREADABLE_REPLY else Outcome.RESET
             flow, self.flow = self.flow, None
             if flow is not None:
-                flow.cut()
-                outcome = Outcome.OK if flow.whole else outcome  # what follows the value is no part of it
-            self.side.closed(self)
+                flow.abort()
+                outcome = Outcome.OK if flow.complete else outcome  # what follows the value is no part of it
+            self.owner.closed(self)
             if pending is not None:
-                pending.ended(Result(outcome))
+                pending.on_result(Result(outcome))
 
-    def _opened(self, reason: str | None) -> None:
-        admission = self.side.admission
-        self.up = reason == ""
+    def _report_opened(self, reason: str | None) -> None:
+        admission = self.owner.admission
+        self.established = reason == ""
         if admission is None:
             return
         ahead = self.pending is None and reason == ""
         if ahead:
-            self.side.free(self)
+            self.owner.release(self)
         admission.opened(self, reason)
         if ahead and self in self.hop.idle:
-            admission.rested(self)
+            admission.idle_ahead(self)
 
     def _serve(self) -> Coroutine[str]:
         ready = OUT  # the first command is due
         while True:
-            if (late := self._too_late()) and ready & OUT:
+            if (late := self._expiry_reason()) and ready & OUT:
                 return late
             try:
-                reason = self._advance(ready)
+                reason = self._handle_events(ready)
             except OSError as error:  # also one that comes right after the connection came up
-                return broken(error)
+                return error_reason(error)
             if reason:
                 return reason
-            if self.flow is not None and not self.flow.whole:
-                ready = yield from self._wait_for_more()
-                if ready == TICK:
+            if self.flow is not None and not self.flow.complete:
+                ready = yield from self._wait_for_value()
+                if ready == NO_EVENT:
                     return "stalled"
             elif self.flow is None and not self.buffer.data:
                 ready = yield self.mask
-            elif (ready := (yield from self.side.loop.wait(self.mask, STALL))) == TICK:
+            elif (ready := (yield from self.owner.loop.wait(self.mask, REPLY_STALL_TIMEOUT))) == NO_EVENT:
                 return "stalled"  # a length that doesn't fit: the rest never comes
 
-    def _wait_for_more(self) -> Coroutine[int]:
+    def _wait_for_value(self) -> Coroutine[int]:
         """The next bytes of a long value; while its client takes nothing, none are read and no time runs."""
         assert self.flow is not None
-        while not self.flow.room:
+        while not self.flow.capacity:
             ready = yield self.mask & ~IN
-            if ready & BROKEN or self.flow is None or self.flow.room:
+            if ready & ERROR_EVENTS or self.flow is None or self.flow.capacity:
                 return ready
-        if self.flow.left:
-            return (yield from self.side.loop.wait(self.mask, FLOW_STALL))
-        return (yield from self.side.loop.wait(self.mask, STALL))
+        if self.flow.remaining:
+            return (yield from self.owner.loop.wait(self.mask, VALUE_STALL_TIMEOUT))
+        return (yield from self.owner.loop.wait(self.mask, REPLY_STALL_TIMEOUT))
 
-    def _more(self) -> None:
+    def _resume_reading(self) -> None:
         """The client has taken something: reading goes on, at once, as bytes may lie in the stream itself."""
         if self.task is not None and not self.task.running:
-            self.side.loop.call_later(0.0, self.side.loop.resume, self.task, IN)
+            self.owner.loop.call_later(0.0, self.owner.loop.resume, self.task, IN)
 
-    def _begin(self, parts: int, size: int) -> str:
+    def _begin_value(self, parts: int, size: int) -> str:
         """A long value begins: it is passed on as it comes."""
-        pending, flow = self.pending, Flow(self.side.flows, size, self._more)
+        pending, flow = self.pending, Flow(self.owner.flows, size, self._resume_reading)
         assert pending is not None
-        self.flow, self.parts = flow, parts
-        if pending.begin is None or not pending.begin(flow):
+        self.flow, self.reply_parts = flow, parts
+        if pending.on_value is None or not pending.on_value(flow):
             self.flow = self.pending = None
-            flow.cut()
-            pending.ended(Result(Outcome.OK))  # it was served, but nobody waits for it any more
+            flow.abort()
+            pending.on_result(Result(Outcome.OK))  # it was served, but nobody waits for it any more
             return "given_up"
         data = bytes(self.buffer.data)
         self.buffer.data.clear()
-        return self._pour(data)
+        return self._forward_value(data)
 
-    def _pour(self, data: bytes) -> str:
+    def _forward_value(self, data: bytes) -> str:
         """Passes on what has come of a long value; what follows it goes to the buffer."""
         flow, pending, stream = self.flow, self.pending, self.stream
         if flow is None or pending is None:
             return "given_up"
-        value, rest = data[: flow.left], data[flow.left :]
+        value, rest = data[: flow.remaining], data[flow.remaining :]
         if value:
             flow.put(value)
         self.buffer.feed(rest)
-        if not flow.left and not flow.whole and len(self.buffer.data) >= 2:
+        if not flow.remaining and not flow.complete and len(self.buffer.data) >= 2:
             if not self.buffer.data.startswith(b"\r\n"):
                 return "bad_framing"
             del self.buffer.data[:2]
-            flow.done()
-        if not flow.whole:
-            return stream.ended
+            flow.finish()
+        if not flow.complete:
+            return stream.end_reason
         try:
-            following = self.buffer.rest(self.parts)
+            following = self.buffer.value_trailer(self.reply_parts)
         except resp.FramingError:
             return "bad_framing"
         if following is None:
-            return stream.ended
+            return stream.end_reason
         self.flow = self.pending = None
         self.served += 1
         more = bool(self.buffer.data)
-        if not more and not stream.ended:
-            self.side.free(self)
-        pending.ended(Result(Outcome.OK, None, *resp.decode_rest(following)))
-        return "unasked_bytes" if more else stream.ended
+        if not more and not stream.end_reason:
+            self.owner.release(self)
+        pending.on_result(Result(Outcome.OK, None, *resp.decode_trailer(following)))
+        return "unasked_bytes" if more else stream.end_reason
 
-    def _advance(self, ready: int) -> str:
+    def _handle_events(self, ready: int) -> str:
         """Does what the events allow; the reason of the connection's end, or nothing."""
         stream = self.stream
         if ready & OUT:
             self._write()
-        if not ready & (IN | BROKEN):
+        if not ready & (IN | ERROR_EVENTS):
             return ""
         flow = self.flow
-        data = stream.read() if flow is None or not flow.left else stream.read(flow.room or READ_SIZE)
-        if stream.busy:
-            self._arm()
+        data = (
+            stream.read() if flow is None or not flow.remaining else stream.read(flow.capacity or READ_SIZE)
+        )
+        if stream.wants_write:
+            self._update_mask()
         if not data:
-            return stream.ended
-        if self.pending is None or not self.pending.whole:
+            return stream.end_reason
+        if self.pending is None or not self.pending.fully_written:
             return "unasked_bytes"  # an answer to nothing: the framing can't be trusted any more
         if flow is not None:
-            return self._pour(data)
+            return self._forward_value(data)
         self.buffer.feed(data)
         if (long := self.buffer.long_reply()) is not None:
-            return self._begin(*long)
+            return self._begin_value(*long)
         try:
             reply = self.buffer.reply()
             result = None if reply is None else self.pending.decode(reply[0])
         except resp.FramingError:
             return "bad_framing"
         if result is None:
-            return stream.ended
+            return stream.end_reason
         pending, self.pending = self.pending, None
         self.served += 1
         more = bool(self.buffer.data)
-        if not more and not stream.ended:  # before the result is told: what follows from it can use it
-            self.side.free(self)
-        pending.ended(result)
-        return "unasked_bytes" if more else stream.ended
+        if not more and not stream.end_reason:  # before the result is told: what follows from it can use it
+            self.owner.release(self)
+        pending.on_result(result)
+        return "unasked_bytes" if more else stream.end_reason
 
-    def _too_late(self) -> str:
+    def _expiry_reason(self) -> str:
         """The reason for which a pending command that has not begun may not begin any more.
 
         What comes up is told before timers that are as due: the loop itself may be late.
         """
         pending = self.pending
-        if pending is None or pending.begun:
+        if pending is None or pending.write_started:
             return ""
-        now, shut_at = self.side.loop.now(), self.hop.shut_at
+        now, shut_at = self.owner.loop.now(), self.hop.writes_end_at
         if shut_at is not None and now >= shut_at:
             return "drained"
-        return "given_up" if now >= pending.until else ""
+        return "given_up" if now >= pending.deadline else ""
 
     def begin(self, pending: PendingCommand) -> bool:
         """Takes a command on an idle connection; false where the next hop has closed it by now."""
-        if not self.stream.fresh():
+        if not self.stream.usable():
             return False
         self.pending, pending.connection = pending, self
         try:
             self._write()
         except OSError:
             # Nothing of the command left this machine, or it would be no error of the first write.
-            self.pending, pending.connection, pending.begun = None, None, False
+            self.pending, pending.connection, pending.write_started = None, None, False
             return False
         if self.task is not None:
-            self.side.loop.watch(self.task, self.mask)
+            self.owner.loop.watch(self.task, self.mask)
         return True
 
     def _write(self) -> None:
         """Writes at once, and arms the poll only for what was not taken."""
         pending, stream = self.pending, self.stream
-        if stream.left or stream.busy:
+        if stream.unsent or stream.wants_write:
             stream.flush()
-        if pending is not None and not pending.whole:
-            if not pending.begun:
-                pending.begun = True
+        if pending is not None and not pending.fully_written:
+            if not pending.write_started:
+                pending.write_started = True
                 stream.write(*pending.encode())
-            if not stream.left:
-                pending.whole = True
-                self.side.forwards += pending.counted
-        self._arm()
+            if not stream.unsent:
+                pending.fully_written = True
+                self.owner.forwards += pending.is_branch
+        self._update_mask()
 
-    def _arm(self) -> None:
+    def _update_mask(self) -> None:
         stream = self.stream
-        self.mask = IN | OUT if stream.left or stream.busy else IN
+        self.mask = IN | OUT if stream.unsent or stream.wants_write else IN
--- a/standflow/net/flow.py
+++ b/standflow/net/flow.py
@@ -10,10 +10,10 @@
 from collections import deque
 from collections.abc import Callable
 
-LEAST, MOST = 8 * 1024, 128 * 1024  # bytes that one pipe may hold, by how many there are
+MIN_WINDOW, MAX_WINDOW = 8 * 1024, 128 * 1024  # bytes that one pipe may hold, by how many there are
 
 
-class Flows:
+class FlowBudget:
     """The budget of all pipes, in bytes."""
 
     def __init__(self, budget: int) -> None:
@@ -23,81 +23,82 @@
     @property
     def window(self) -> int:
         """What one pipe may hold now."""
-        return max(LEAST, min(MOST, self.budget // max(1, self.open)))
+        return max(MIN_WINDOW, min(MAX_WINDOW, self.budget // max(1, self.open)))
 
 
 class Flow:
     """One value of a known size. It ends whole (`done`) or broken (`cut`), once."""
 
     __slots__ = (
-        "broken", "flows", "gathers", "held", "left", "over", "parts", "resume", "size", "wake", "whole",
+        "aborted", "buffered", "buffers_all", "closed", "complete", "flows", "on_change", "parts",
+        "remaining", "resume", "size",
     )  # fmt: skip
 
-    def __init__(self, flows: Flows, size: int, resume: Callable[[], None]) -> None:
+    def __init__(self, flows: FlowBudget, size: int, resume: Callable[[], None]) -> None:
         """`resume` has the connection read on."""
         self.flows, self.size, self.resume = flows, size, resume
-        self.left = size  # bytes still to be put in
+        self.remaining = size  # bytes still to be put in
         self.parts: deque[memoryview] = deque()
-        self.held = 0
-        self.whole = self.broken = self.over = False
-        self.gathers = False  # takes in all of it before anything is taken out
-        self.wake: Callable[[], None] = lambda: (
+        self.buffered = 0
+        self.complete = self.aborted = self.closed = False
+        self.buffers_all = False  # takes in all of it before anything is taken out
+        self.on_change: Callable[[], None] = lambda: (
             None
         )  # the connection has something to take, or the value has ended
         flows.open += 1
 
     @property
-    def room(self) -> int:
+    def capacity(self) -> int:
         """Bytes that may be put in now; the connection reads nothing while there are none."""
-        if self.gathers:
-            return max(LEAST, self.left)  # also what follows the value has to be read
-        return max(0, self.flows.window - self.held)
+        if self.buffers_all:
+            return max(MIN_WINDOW, self.remaining)  # also what follows the value has to be read
+        return max(0, self.flows.window - self.buffered)
 
     @property
-    def ended(self) -> bool:
+    def drained(self) -> bool:
         """Everything was taken out, and the value is whole."""
-        return self.whole and not self.held
+        return self.complete and not self.buffered
 
-    def gather(self) -> None:
+    def buffer_all(self) -> None:
         """Takes in all of it, as there is room for it elsewhere."""
-        was, self.gathers = self.room, True
-        if not was and self.left:
+        was, self.buffers_all = self.capacity, True
+        if not was and self.remaining:
             self.resume()
 
     def put(self, data: bytes) -> None:
         """Takes in the next bytes, at most those that are left."""
-        self.left -= len(data)
-        self.held += len(data)
+        self.remaining -= len(data)
+        self.buffered += len(data)
         self.parts.append(memoryview(data))
-        self.wake()
+        self.on_change()
 
     def take(self, most: int) -> bytes:
         """Takes out up to so many bytes."""
-        was, taken = self.room, bytearray()
+        was, taken = self.capacity, bytearray()
         while self.parts and len(taken) < most:
             part = self.parts.popleft()
             piece = part[: most - len(taken)]
             taken += piece
             if len(piece) < len(part):
                 self.parts.appendleft(part[len(piece) :])
-        self.held -= len(taken)
-        if taken and not was and self.room and not self.whole:
+        self.buffered -= len(taken)
+        if taken and not was and self.capacity and not self.complete:
             self.resume()
         return bytes(taken)
 
-    def done(self) -> None:
+    def finish(self) -> None:
         """The next hop has given all of it, and its end."""
-        self.whole = True
+        self.complete = True
         self._end()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """No more will come."""
-        if not self.whole:
-            self.broken = True
+        if not self.complete:
+            self.aborted = True
             self._end()
 
     def _end(self) -> None:
-        if not self.over:
-            self.over = True
+        if not self.closed:
+            self.closed = True
             self.flows.open -= 1
-            self.wake()
+            self.on_change()
--- a/standflow/net/listening.py
+++ b/standflow/net/listening.py
@@ -8,7 +8,7 @@
 BACKLOG = 1024  # connections that may wait to be accepted
 
 
-def listening(address: tuple[str, int], backlog: int = BACKLOG) -> socket.socket:
+def tcp_listener(address: tuple[str, int], backlog: int = BACKLOG) -> socket.socket:
     """A listener of this process's own; `backlog`: connections that may wait to be accepted."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     try:
@@ -21,7 +21,7 @@
     return sock
 
 
-def datagrams(address: tuple[str, int], shared: bool) -> socket.socket:
+def udp_socket(address: tuple[str, int], shared: bool) -> socket.socket:
     """A UDP socket; `shared`: another process may hold the address too."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
     try:
@@ -34,7 +34,7 @@
     return sock
 
 
-def adopted(number: int) -> socket.socket:
+def inherited_listener(number: int) -> socket.socket:
     """A listener that was inherited. It is never shut down: what waits in it belongs to others too."""
     sock = socket.socket(fileno=number)
     if (
--- a/standflow/net/bodies.py
+++ b/standflow/net/memory_budget.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Hashable
 
 
-class Bodies:
+class MemoryBudget:
     """The budget, in bytes. A body larger than all of it gets it when nobody else has any."""
 
     def __init__(self, budget: int) -> None:
@@ -20,19 +20,19 @@
 
     def reserve(self, who: Hashable, size: int, granted: Callable[[], None]) -> bool:
         """True where the room is had at once; else `granted` is called when it is."""
-        if self.take(size):
+        if self.try_reserve(size):
             return True
         self.waiting[who] = (size, granted)
         return False
 
-    def take(self, size: int) -> bool:
+    def try_reserve(self, size: int) -> bool:
         """Reserves at once or not at all."""
         if self.waiting or not self._fits(size):
             return False
         self.used += size
         return True
 
-    def forget(self, who: Hashable) -> None:
+    def cancel(self, who: Hashable) -> None:
         """Whoever waits no more."""
         if self.waiting.pop(who, None) is not None:
             self._grant()
--- a/standflow/net/nexthop.py
+++ b/standflow/net/nexthop.py
@@ -11,19 +11,19 @@
 from standflow.exchange import Branch, Exchange, Outcome, Phase, Result, Route, RouteSet
 from standflow.net import resp
 from standflow.net.backend_connection import Admission, Connection, Hop, PendingCommand
-from standflow.net.closing import close_in_order
-from standflow.net.flow import Flows
-from standflow.net.loop import Loop, broken
+from standflow.net.closing import close_gracefully
+from standflow.net.flow import FlowBudget
+from standflow.net.loop import Loop, error_reason
 from standflow.net.stream import PlainStream, Stream
 from standflow.platform_terms import HOLD_UP_SECONDS
 
 FLOW_BUDGET = 16 * 1024 * 1024  # bytes of long values on their way, where nothing else is said
 # Seconds for which a connection rests after an answer: a second one to the same command may follow some
 # milliseconds late (0.5 to 7 where it was measured), and the next command would take it for its own.
-REST = 0.025
+COOL_DOWN = 0.025
 
 # Why connections end that were not lost: whoever reads `ended` of Admission needs to tell.
-OURS = frozenset(
+LOCAL_REASONS = frozenset(
     (
         *("idle", "stale", "cap", "drained", "restarted", "given_up", "close_idle", "rotated", "shutdown"),
         *("bad_framing", "stalled", "unasked_bytes"),
@@ -43,15 +43,15 @@
         idle_limit: float,
         drain_grace: float,
         max_connections: int,
-        make: Callable[[Route, socket.socket], Stream] = lambda route, sock: PlainStream(sock),
-        flows: Flows | None = None,
-        rest: float = 0.0,
+        make_stream: Callable[[Route, socket.socket], Stream] = lambda route, sock: PlainStream(sock),
+        flows: FlowBudget | None = None,
+        cool_down: float = 0.0,
     ) -> None:
-        self.loop, self.log, self.exchange, self.rest = loop, log, exchange, rest
+        self.loop, self.log, self.exchange, self.cool_down = loop, log, exchange, cool_down
         self.dial_timeout, self.idle_limit, self.drain_grace = dial_timeout, idle_limit, drain_grace
         self.max_connections = max_connections
-        self.make = make
-        self.flows = Flows(FLOW_BUDGET) if flows is None else flows
+        self.make_stream = make_stream
+        self.flows = FlowBudget(FLOW_BUDGET) if flows is None else flows
         self.tally = exchange.tally
         self.admission: Admission | None = None
         self.hops: dict[str, Hop] = {}
@@ -61,16 +61,16 @@
 
     # The route set.
 
-    def routes_told(self, routes: RouteSet) -> None:
+    def update_routes(self, routes: RouteSet) -> None:
         """Takes in what discovery says; what is missing from a whole set is gone."""
         told = {route.hop for route in routes.routes}
         for route in routes.routes:
-            self._told(route)
+            self._update_route(route)
         if routes.complete:
             for name in [name for name in self.hops if name not in told]:
-                self._shut(self.hops[name])
+                self._end_writes(self.hops[name])
 
-    def _told(self, route: Route) -> None:
+    def _update_route(self, route: Route) -> None:
         hop = self.hops.get(route.hop)
         if hop is None:
             if route.phase is Phase.GONE:
@@ -81,30 +81,30 @@
             # Another process: what is idle belongs to the one before and would end as a reset.
             self._close_idle(hop, "restarted")
         if route.phase is Phase.SERVING:
-            hop.shut_at = None
+            hop.writes_end_at = None
         else:
-            self._shut(hop)
+            self._end_writes(hop)
 
-    def _shut(self, hop: Hop) -> None:
+    def _end_writes(self, hop: Hop) -> None:
         """A next hop that drains or is gone: nothing new is written once the grace is over."""
         self._close_idle(hop, "drained")
-        if hop.shut_at is None:
+        if hop.writes_end_at is None:
             # From when the change can have come at the earliest; and the first byte may leave so much later
             # than the clock was read.
-            hop.shut_at = self.loop.heard + max(0.0, self.drain_grace - HOLD_UP_SECONDS)
-            self.loop.call_at(hop.shut_at, self._grace_over, hop)
+            hop.writes_end_at = self.loop.earliest_arrival + max(0.0, self.drain_grace - HOLD_UP_SECONDS)
+            self.loop.call_at(hop.writes_end_at, self._grace_over, hop)
 
     def _grace_over(self, hop: Hop) -> None:
-        if hop.shut_at is None or self.loop.now() < hop.shut_at:
+        if hop.writes_end_at is None or self.loop.now() < hop.writes_end_at:
             return  # it serves again
         for connection in list(hop.connections):
             # One that has begun to write goes on: a send's time is that of its first byte.
-            if connection.pending is not None and not connection.pending.begun:
+            if connection.pending is not None and not connection.pending.write_started:
                 self._end(connection, "drained")
-        self._forget(hop)
+        self._remove_closed(hop)
 
-    def _forget(self, hop: Hop) -> None:
-        if hop.shut_at is not None and not hop.connections and self.hops.get(hop.route.hop) is hop:
+    def _remove_closed(self, hop: Hop) -> None:
+        if hop.writes_end_at is not None and not hop.connections and self.hops.get(hop.route.hop) is hop:
             del self.hops[hop.route.hop]
 
     # Errands.
@@ -120,10 +120,10 @@
             self.exchange.branch_ended(branch, result)
 
         branch.carrier = PendingCommand(encode, read_answer, ended)
-        branch.carrier.counted = True
-        branch.carrier.until = branch.deadline
-        branch.carrier.begin = lambda flow: self.exchange.branch_began(branch, flow)
-        self._carry(branch.hop, branch.carrier)
+        branch.carrier.is_branch = True
+        branch.carrier.deadline = branch.deadline
+        branch.carrier.on_value = lambda flow: self.exchange.branch_began(branch, flow)
+        self._dispatch(branch.hop, branch.carrier)
 
     def give_up(self, branch: Branch) -> bool:
         """Closes the branch's connection; see exchange.NextHopSide."""
@@ -132,11 +132,11 @@
         if connection is not None and connection.pending is pending:
             connection.pending = None
             self._end(connection, "given_up")
-        return pending.whole
+        return pending.fully_written
 
     def unsent(self, branch: Branch) -> bool:
         """See exchange.NextHopSide."""
-        return not branch.carrier.whole
+        return not branch.carrier.fully_written
 
     def probe(self, name: str, ended: Callable[[Result], None]) -> None:
         """PING, on a connection like any other; given up when the dialling time is over twice."""
@@ -151,14 +151,16 @@
             if pending.connection is not None and pending.connection.pending is pending:
                 pending.connection.pending = None
                 self._end(pending.connection, "given_up")
-            ended(Result(Outcome.TIMEOUT if pending.whole else Outcome.CONNECT_FAILED))
+            ended(Result(Outcome.TIMEOUT if pending.fully_written else Outcome.CONNECT_FAILED))
 
-        self._carry(name, pending)
+        self._dispatch(name, pending)
 
     def open_connections(self) -> dict[str, int]:
         """Connections that are up, by next hop."""
         up = {
-            name: sum(one.up for one in hop.connections) for name, hop in self.hops.items() if hop.connections
+            name: sum(one.established for one in hop.connections)
+            for name, hop in self.hops.items()
+            if hop.connections
         }
         return {name: number for name, number in up.items() if number}
 
@@ -167,26 +169,26 @@
         if name in self.hops:
             self._close_idle(self.hops[name], "close_idle")
 
-    def _carry(self, name: str, pending: PendingCommand) -> None:
+    def _dispatch(self, name: str, pending: PendingCommand) -> None:
         hop = self.hops.get(name)
-        if hop is None or (hop.shut_at is not None and self.loop.now() >= hop.shut_at):
+        if hop is None or (hop.writes_end_at is not None and self.loop.now() >= hop.writes_end_at):
             self._fail(pending)
             return
-        while (connection := self._rested(hop)) is not None:
+        while (connection := self._take_idle(hop)) is not None:
             if connection.begin(pending):
                 return
             self._end(connection, "stale")
         # A lack of this ingress's own is no word on the next hop, which would be avoided for it.
-        if self.connections >= self.max_connections and not self._make_room():
+        if self.connections >= self.max_connections and not self._evict_idle():
             self._fail(pending, Outcome.MOOT)
             return
         refusal = None if self.admission is None else self.admission.refusal(name)
         if refusal is not None or not self._dial(hop, pending):
             self._fail(pending, refusal or Outcome.MOOT)
 
-    def _rested(self, hop: Hop) -> Connection | None:
+    def _take_idle(self, hop: Hop) -> Connection | None:
         """Of the idle connections that have rested the one used last: it is the least likely to be closed."""
-        rested = self.loop.now() - self.rest
+        rested = self.loop.now() - self.cool_down
         for connection in reversed(hop.idle):
             if connection.idle_since <= rested or not connection.served:
                 hop.idle.remove(connection)
@@ -196,11 +198,11 @@
     def open_ahead(self, name: str) -> bool:
         """Opens a connection ahead of any branch; false where there is no room for one."""
         hop = self.hops.get(name)
-        if hop is None or hop.shut_at is not None or self.connections >= self.max_connections:
+        if hop is None or hop.writes_end_at is not None or self.connections >= self.max_connections:
             return False
         return self._dial(hop, None)
 
-    def ready(self, name: str, number: int) -> bool:
+    def has_idle(self, name: str, number: int) -> bool:
         """True where so many connections to a next hop are idle, or on the way up ahead of any branch."""
         hop = self.hops.get(name)
         return hop is not None and sum(one.pending is None for one in hop.connections) >= number
@@ -213,25 +215,25 @@
             self.log(f"nexthop: no socket: {error}")
             return False
         self.tally("dials.busy" if hop.connections else "dials.first")
-        connection.stream = self.make(hop.route, connection.sock)
+        connection.stream = self.make_stream(hop.route, connection.sock)
         if pending is not None:
             pending.connection = connection
         hop.connections.add(connection)
         self.connections += 1
         if self.admission is not None:
-            self.admission.began(hop.route.hop, connection.stream)
+            self.admission.dial_started(hop.route.hop, connection.stream)
         try:
-            connection.task = self.loop.spawn(connection.sock.fileno(), connection.live())
+            connection.task = self.loop.spawn(connection.sock.fileno(), connection.run())
         except OSError as error:
             self.log(f"nexthop: {error}")
-            connection.pending, connection.reason = None, broken(error)
+            connection.pending, connection.reason = None, error_reason(error)
             self.closed(connection)
             return False
         return True
 
     def _fail(self, pending: PendingCommand, outcome: Outcome = Outcome.CONNECT_FAILED) -> None:
         """The outcome comes after the action that asked for the command, as all outcomes do."""
-        self.loop.call_later(0.0, pending.ended, Result(outcome))
+        self.loop.call_later(0.0, pending.on_result, Result(outcome))
 
     def close(self) -> None:
         """Ends every connection, at once; no results follow."""
@@ -241,10 +243,10 @@
 
     # Connections.
 
-    def free(self, connection: Connection) -> None:
+    def release(self, connection: Connection) -> None:
         """A connection that has carried its command."""
         connection.idle_since = self.loop.now()
-        if connection.hop.shut_at is None:
+        if connection.hop.writes_end_at is None:
             connection.hop.idle.append(connection)
         else:
             self._end(connection, "drained")
@@ -256,15 +258,15 @@
         if connection in hop.idle:
             hop.idle.remove(connection)
         connection.stream.close()
-        close_in_order(connection.sock)
-        if self.admission is not None and connection.up:
-            self.admission.ended(connection)
+        close_gracefully(connection.sock)
+        if self.admission is not None and connection.established:
+            self.admission.closed(connection)
         self.connections -= 1
-        age, notes = self.loop.now() - connection.made, connection.stream.notes()
+        age, notes = self.loop.now() - connection.created_at, connection.stream.log_suffix()
         self.log(
             f"end nexthop {hop.route.hop} {connection.reason} served={connection.served} age={age:.2f}{notes}"
         )
-        self._forget(hop)
+        self._remove_closed(hop)
 
     def end(self, connection: Connection, reason: str) -> None:
         """Ends an idle connection from outside."""
@@ -283,7 +285,7 @@
         for connection in list(hop.idle):
             self._end(connection, reason)
 
-    def _make_room(self) -> bool:
+    def _evict_idle(self) -> bool:
         """At the cap the connection idle longest makes way."""
         oldest = min((h.idle[0] for h in self.hops.values() if h.idle), key=_idle_since, default=None)
         if oldest is not None:
@@ -307,13 +309,13 @@
     answer = resp.decode_answer(reply)
     if isinstance(answer, resp.Value):
         return Result(Outcome.OK, answer.value, answer.used_percent, answer.report)
-    if isinstance(answer, resp.TurnedAway):
+    if isinstance(answer, resp.BusyReply):
         return Result(Outcome.FULL, report=answer.report)
     return Result(Outcome.ERROR, report=answer.report)
 
 
 def read_pong(reply: resp.Reply) -> Result:
     """What a reply means for a probe."""
-    if isinstance(reply, resp.Line | resp.ErrorLine):
+    if isinstance(reply, resp.SimpleString | resp.ErrorReply):
         return Result(Outcome.OK if reply.text == b"PONG" else Outcome.ERROR)
     raise resp.FramingError("a reply of another form")
--- a/standflow/net/peers.py
+++ b/standflow/net/peers.py
@@ -4,15 +4,15 @@
 
 from collections.abc import Callable
 
-from standflow.net.listening import datagrams
+from standflow.net.listening import udp_socket
 from standflow.net.loop import IN, Coroutine, Loop
-from standflow.net.momentary import at_start
+from standflow.net.transient_errors import retry_at_startup
 
 MAX_DATAGRAM = 256
 
 Address = tuple[str, int]
 
-NOWHERE: Address = ("0.0.0.0", 0)  # of a place that nobody fills
+NO_ADDRESS: Address = ("0.0.0.0", 0)  # of a place that nobody fills
 
 
 class Peers:
@@ -24,26 +24,32 @@
         log: Callable[[str], None],
         listen: Address,
         peers: tuple[Address, ...],
-        everyone: Address | None,
-        own: int,
-        told: Callable[[int, bytes], None],
+        broadcast_address: Address | None,
+        own_id: int,
+        on_message: Callable[[int, bytes], None],
         tally: Callable[[str], None] = lambda name: None,
         shared: bool = False,
-        open_to_all: bool = False,
+        accept_unlisted: bool = False,
     ) -> None:
-        """`open_to_all`: places may be filled from addresses that are not listed; see `fill`.
+        """`accept_unlisted`: places may be filled from addresses that are not listed; see `fill`.
 
         `shared`: another process of this ingress may hold the address too. Then datagrams reach the one
         that bound it last (Linux, SO_REUSEADDR on both), and the other again when that one is gone.
         """
-        self.log, self.peers, self.everyone, self.own, self.told = log, peers, everyone, own, told
+        self.log, self.peers, self.broadcast_address, self.own_id, self.on_message = (
+            log,
+            peers,
+            broadcast_address,
+            own_id,
+            on_message,
+        )
         self.tally = tally
-        self.numbers = {address: number for number, address in enumerate(peers) if address != NOWHERE}
-        self.open_to_all = open_to_all
+        self.member_ids = {address: number for number, address in enumerate(peers) if address != NO_ADDRESS}
+        self.accept_unlisted = accept_unlisted
         # Where a view of the fleet is kept: true for a datagram of its own; and who was heard on the ring.
-        self.of_view: Callable[[bytes, Address], bool] | None = None
-        self.heard: Callable[[int], None] = lambda number: None
-        self.sock = at_start(lambda: datagrams(listen, shared))
+        self.handle_membership: Callable[[bytes, Address], bool] | None = None
+        self.on_received: Callable[[int], None] = lambda number: None
+        self.sock = retry_at_startup(lambda: udp_socket(listen, shared))
         self.address: Address = self.sock.getsockname()
         loop.spawn(self.sock.fileno(), loop.supervised(self._receive))
 
@@ -55,45 +61,45 @@
                     content, sender = self.sock.recvfrom(MAX_DATAGRAM + 1)
                 except OSError:
                     break
-                number = self.numbers.get(sender)
-                known = number is not None or self.open_to_all
+                number = self.member_ids.get(sender)
+                known = number is not None or self.accept_unlisted
                 fits = known and len(content) <= MAX_DATAGRAM
-                if fits and self.of_view is not None and self.of_view(content, sender):
+                if fits and self.handle_membership is not None and self.handle_membership(content, sender):
                     self.tally("peers.view")
                     continue
                 # Anyone can send here: strangers, oversize datagrams and our own are dropped.
-                if number is None or number == self.own or len(content) > MAX_DATAGRAM:
+                if number is None or number == self.own_id or len(content) > MAX_DATAGRAM:
                     self.tally("peers.dropped")
                     self.log(f"peers: dropped {len(content)} bytes from {sender[0]}:{sender[1]}")
                     continue
                 self.tally("peers.in")
-                self.heard(number)
-                self.told(number, content)
+                self.on_received(number)
+                self.on_message(number, content)
 
-    def fill(self, number: int, address: Address) -> None:
+    def assign_address(self, number: int, address: Address) -> None:
         """A place is filled from this address from now on."""
         if self.peers[number] != address:
-            self.numbers.pop(self.peers[number], None)
+            self.member_ids.pop(self.peers[number], None)
             self.peers = (*self.peers[:number], address, *self.peers[number + 1 :])
-            if address != NOWHERE:
-                self.numbers[address] = number
+            if address != NO_ADDRESS:
+                self.member_ids[address] = number
 
-    def tell(self, peer: int | None, content: bytes) -> None:
+    def send_message(self, peer: int | None, content: bytes) -> None:
         """Sends a datagram to one ingress, or to all; it may get lost, so a failure is only logged."""
         if len(content) > MAX_DATAGRAM:
             self.log(f"peers: a message of {len(content)} bytes is too long and was not sent")
             return
-        if peer is None and self.everyone is not None:
-            targets = [self.everyone]
+        if peer is None and self.broadcast_address is not None:
+            targets = [self.broadcast_address]
         elif peer is None:
-            targets = [address for number, address in enumerate(self.peers) if number != self.own]
+            targets = [address for number, address in enumerate(self.peers) if number != self.own_id]
         else:
             targets = [self.peers[peer]] if 0 <= peer < len(self.peers) else []
         for target in targets:
-            if target != NOWHERE:
-                self.send(target, content)
+            if target != NO_ADDRESS:
+                self.send_to_address(target, content)
 
-    def send(self, target: Address, content: bytes) -> None:
+    def send_to_address(self, target: Address, content: bytes) -> None:
         """Sends a datagram to an address."""
         try:
             self.sock.sendto(content, target)
--- a/standflow/net/resp.py
+++ b/standflow/net/resp.py
@@ -12,9 +12,9 @@
 MAX_COMMAND = MAX_VALUE + 4096  # without the body
 MAX_REPLY = 4 * MAX_VALUE
 MAX_DIGITS = 20
-BODY = 4  # the place of a command's body among its parts
-MAX_PATIENCE = 600_000  # milliseconds; who says to wait longer would hold a place that long
-MAX_CUSTOMER = 1 << 33
+BODY_INDEX = 4  # the place of a command's body among its parts
+MAX_TIME_LEFT = 600_000  # milliseconds; who says to wait longer would hold a place that long
+MAX_TENANT = 1 << 33
 
 
 class FramingError(ValueError):
@@ -36,28 +36,28 @@
 
     safe: bool
     ident: bytes
-    customer: str
+    tenant: str
     class_name: str
     plan: str
-    patience: float
+    time_left: float
     units: float
     spread: int
     first: int
     head: bytes
-    before: bytes
-    after: bytes
+    options_before: bytes
+    options_after: bytes
     body: bytes | None
 
 
 @dataclass(slots=True, frozen=True)
-class Line:
+class SimpleString:
     """A simple string reply, without its mark: it is no value."""
 
     text: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class ErrorLine:
+class ErrorReply:
     """An error reply, without its mark."""
 
     text: bytes
@@ -73,22 +73,22 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TurnedAway:
+class BusyReply:
     """A next hop's -BUSY: the command never ran."""
 
     report: Mapping[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
-class Broken:
+class FailedReply:
     """Any other answer of a next hop: the command may have run."""
 
     text: str
     report: Mapping[str, float] = field(default_factory=dict)
 
 
-Reply = bytes | int | Line | ErrorLine | None | list["Reply"]
-Answer = Value | TurnedAway | Broken
+Reply = bytes | int | SimpleString | ErrorReply | None | list["Reply"]
+Answer = Value | BusyReply | FailedReply
 
 
 class Buffer:
@@ -126,12 +126,12 @@
             size, start = _number(data, at + 1)
             if start < 0:
                 return None
-            long = size > MAX_VALUE and place == BODY and count == BODY + 1
+            long = size > MAX_VALUE and place == BODY_INDEX and count == BODY_INDEX + 1
             if not 0 <= size <= (MAX_LONG if long else MAX_VALUE) or start + size * (not long) > MAX_COMMAND:
                 raise FramingError("a value is too long")
             at = start + size + 2
             if at > len(data):
-                self.body = size if place == BODY == count - 1 else 0
+                self.body = size if place == BODY_INDEX == count - 1 else 0
                 return None
             if data[at - 2 : at] != b"\r\n":
                 raise FramingError("a value has another length than it says")
@@ -160,7 +160,7 @@
         del data[: second + 2]
         return int(count), int(size)
 
-    def rest(self, parts: int) -> list[Reply] | None:
+    def value_trailer(self, parts: int) -> list[Reply] | None:
         """What follows a long value of a reply of so many parts, or None while it is not whole."""
         rest: list[Reply] = []
         at = 0
@@ -216,7 +216,7 @@
         raise FramingError("a reply of no known kind")
     if mark == 0x2B or mark == 0x2D:
         text, after = _line(data, at + 1)
-        return (Line(text) if mark == 0x2B else ErrorLine(text)), after
+        return (SimpleString(text) if mark == 0x2B else ErrorReply(text)), after
     number, after = _number(data, at + 1)
     if after < 0 or mark == 0x3A:
         return number, after
@@ -266,7 +266,7 @@
     _, customer, ident, options = parts[:4]
     try:
         # int() would also take signs, spaces and underscores
-        if len(customer) != 16 or not customer.isalnum() or int(customer, 16) >= MAX_CUSTOMER:
+        if len(customer) != 16 or not customer.isalnum() or int(customer, 16) >= MAX_TENANT:
             raise CommandError("bad customer")
     except ValueError:
         raise CommandError("bad customer") from None
@@ -294,22 +294,22 @@
         raise CommandError(f"no option {error.args[0].decode()}") from None
     except ValueError:
         raise CommandError("bad number") from None
-    if not (0 < patience <= MAX_PATIENCE and 0 < units <= 1e6 and 1 <= spread <= 65535 and first <= 65535):
+    if not (0 < patience <= MAX_TIME_LEFT and 0 < units <= 1e6 and 1 <= spread <= 65535 and first <= 65535):
         raise CommandError("bad number")
     before, after = b",".join(pieces[:place]), b",".join(pieces[place + 1 :])
     return Ask(
         safe=name == b"Q.ASK",
         ident=parts[2],
-        customer=parts[1].decode("ascii").lower(),
+        tenant=parts[1].decode("ascii").lower(),
         class_name=class_name,
         plan=plan,
-        patience=patience / 1000,
+        time_left=patience / 1000,
         units=units,
         spread=spread,
         first=first,
         head=b"*%d\r\n" % len(parts) + b"".join(bulk(part) for part in parts[:3]),
-        before=before + b"," if before else b"",
-        after=b"," + after if after else b"",
+        options_before=before + b"," if before else b"",
+        options_after=b"," + after if after else b"",
         body=parts[4] if len(parts) == 5 else None,
     )
 
@@ -330,7 +330,7 @@
 
 def encode_ask(ask: Ask, left: float) -> tuple[bytes, ...]:
     """The command for a next hop: as it came, but for the time that is left; a long body is not copied."""
-    options = b"%bd=%d%b" % (ask.before, max(1, int(left * 1000)), ask.after)
+    options = b"%bd=%d%b" % (ask.options_before, max(1, int(left * 1000)), ask.options_after)
     head = ask.head + bulk(options)
     if ask.body is None:
         return (head,)
@@ -341,13 +341,13 @@
 
 def decode_answer(reply: Reply) -> Answer:
     """What a next hop's reply to a command says; FramingError where it is no answer at all."""
-    if isinstance(reply, ErrorLine):
+    if isinstance(reply, ErrorReply):
         word, _, rest = reply.text.partition(b" ")
         report = decode_report(rest.rpartition(b" ")[2])
         # Only a clean line proves that the command never ran: a spoilt one may begin alike.
         if word == b"BUSY" and (not rest or rest.isdigit() or report):
-            return TurnedAway(report)
-        return Broken(reply.text.decode("latin-1"), report)
+            return BusyReply(report)
+        return FailedReply(reply.text.decode("latin-1"), report)
     if isinstance(reply, list) and reply and isinstance(reply[0], bytes):
         used = reply[1] if len(reply) > 1 else None
         load = reply[2] if len(reply) > 2 else None
@@ -355,7 +355,7 @@
     raise FramingError("a reply of another form")
 
 
-def decode_rest(rest: list[Reply]) -> tuple[float, dict[str, float]]:
+def decode_trailer(rest: list[Reply]) -> tuple[float, dict[str, float]]:
     """The figures behind a long value: use and the load report."""
     load = rest[1] if len(rest) > 1 else None
     return decode_used(rest[0] if rest else None), decode_report(load if isinstance(load, bytes) else b"")
--- a/standflow/net/routes.py
+++ b/standflow/net/routes.py
@@ -14,13 +14,13 @@
 import h11
 
 from standflow.exchange import Phase, Route, RouteSet
-from standflow.net.loop import IN, OUT, TICK, Coroutine, Loop, Task, Timer, broken
-from standflow.net.watch_timing import CONNECT_LIMIT, LAST_BACK_OFF, SILENCE, CallEnd, WatchTiming
+from standflow.net.loop import IN, NO_EVENT, OUT, Coroutine, Loop, Task, Timer, error_reason
+from standflow.net.watch_timing import CONNECT_TIMEOUT, MAX_BACK_OFF, SILENCE_TIMEOUT, CallEnd, WatchTiming
 
 PHASES = {"SERVING": Phase.SERVING, "DRAINING": Phase.DRAINING, "DELETED": Phase.GONE}
-NOWHERE = ("0.0.0.0", 0)  # of one that is gone, whose address is of no use
-MAX_LINE = 4 * 1024 * 1024  # and of an object that is indented over several
-ENDS = {"status:503": CallEnd.TURNED_AWAY, "peer_closed": CallEnd.ENDED}  # by the reason in the log
+NO_ADDRESS = ("0.0.0.0", 0)  # of one that is gone, whose address is of no use
+MAX_OBJECT = 4 * 1024 * 1024  # and of an object that is indented over several
+CALL_ENDS = {"status:503": CallEnd.UNAVAILABLE, "peer_closed": CallEnd.ENDED}  # by the reason in the log
 STRINGS = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
@@ -28,7 +28,7 @@
     """A route set that can't be read; its text says why."""
 
 
-class Objects:
+class ObjectSplitter:
     """Cuts what a watch says into JSON objects: on a line of their own, or indented over several.
 
     A text in JSON holds no line's end, so that each line tells by itself how much deeper it leads.
@@ -45,25 +45,25 @@
         while (end := self.line.find(b"\n")) >= 0:
             text = bytes(self.line[:end]).strip()
             del self.line[: end + 1]
-            self.depth += self._deeper(text)
+            self.depth += self._depth_change(text)
             if text:
                 self.lines.append(text)
                 self.size += len(text)
             if self.depth <= 0:
-                yield self._taken()
+                yield self._pop_object()
         # Told is what has been written: the end of its line is not waited for.
-        if self.line.rstrip().endswith(b"}") and self.depth + self._deeper(bytes(self.line)) == 0:
+        if self.line.rstrip().endswith(b"}") and self.depth + self._depth_change(bytes(self.line)) == 0:
             self.lines.append(bytes(self.line))
             self.line.clear()
-            yield self._taken()
-        if self.size + len(self.line) > MAX_LINE:
+            yield self._pop_object()
+        if self.size + len(self.line) > MAX_OBJECT:
             raise LineTooLongError
 
-    def _deeper(self, text: bytes) -> int:
+    def _depth_change(self, text: bytes) -> int:
         bare = STRINGS.sub(b"", text)
         return sum(bare.count(mark) * step for mark, step in ((b"{", 1), (b"[", 1), (b"}", -1), (b"]", -1)))
 
-    def _taken(self) -> bytes:
+    def _pop_object(self) -> bytes:
         text = b"\n".join(self.lines)
         self.lines, self.depth, self.size = [], 0, 0
         return text
@@ -101,7 +101,7 @@
     phase = PHASES[raw["phase"]]
     return Route(
         hop=raw["id"],
-        address=NOWHERE if phase is Phase.GONE else read_address(raw["host_port"]),
+        address=NO_ADDRESS if phase is Phase.GONE else read_address(raw["host_port"]),
         zone=zone_of(str(raw.get("locality", "")), zones),
         kind=str(raw.get("flavor", "")),
         cell=int(raw.get("cell", 0)),
@@ -148,7 +148,7 @@
     return fitting[0] if len(fitting) == 1 else locality
 
 
-class Routes:
+class RouteWatch:
     """Keeps a watch open and hands on each change; a broken watch is taken up at its revision."""
 
     def __init__(
@@ -158,81 +158,81 @@
         address: tuple[str, int],
         zones: tuple[str, ...],
         revision: int | None,
-        told: Callable[[RouteSet], None],
-        chance: random.Random,
+        on_routes: Callable[[RouteSet], None],
+        rng: random.Random,
         tally: Callable[[str], None] = lambda name: None,
-        last_back_off: float = LAST_BACK_OFF,
+        max_back_off: float = MAX_BACK_OFF,
     ) -> None:
-        self.loop, self.log, self.address, self.zones, self.told = loop, log, address, zones, told
-        self.timing = WatchTiming(last_back_off)
+        self.loop, self.log, self.address, self.zones, self.on_routes = loop, log, address, zones, on_routes
+        self.timing = WatchTiming(max_back_off)
         self.revision = revision
-        self.chance, self.tally = chance, tally
+        self.rng, self.tally = rng, tally
         self.task: Task | None = None
-        self.pending: Timer | None = None  # the next attempt, while no watch is open
-        self.ending = "fetch"  # why the watch is ended from here
+        self.reconnect_timer: Timer | None = None  # the next attempt, while no watch is open
+        self.close_reason = "fetch"  # why the watch is ended from here
         self.closed = False
 
     def connect(self) -> None:
         """Opens the watch."""
         self.tally("routes.asked")
-        self.pending = None
+        self.reconnect_timer = None
         self.timing.begin(self.loop.now())
         try:
             sock = self.loop.open_socket()
         except OSError as error:
             self.log(f"routes: no socket: {error}")
-            self._again(CallEnd.FAILED)
+            self._schedule_reconnect(CallEnd.FAILED)
             return
         try:
-            self.task = self.loop.spawn(sock.fileno(), self._live(sock))
+            self.task = self.loop.spawn(sock.fileno(), self._run(sock))
         except OSError as error:
             sock.close()
             self.log(f"routes: {error}")
-            self._again(CallEnd.FAILED)
+            self._schedule_reconnect(CallEnd.FAILED)
 
-    def fetch(self) -> None:
+    def refetch(self) -> None:
         """The whole list, asked for once: the watch is opened anew without a revision."""
         self.revision = None
         if self.task is not None:
-            self.ending = "fetch"
+            self.close_reason = "fetch"
             self.loop.end(self.task)
 
     def move(self, address: tuple[str, int]) -> None:
         """Takes the watch to another address, at once and at the revision reached."""
         self.address = address
-        self.timing.move()
-        if self.pending is not None:
-            self.pending.cancel()
+        self.timing.address_changed()
+        if self.reconnect_timer is not None:
+            self.reconnect_timer.cancel()
             self.connect()
         elif self.task is not None:
-            self.ending = "moved"
+            self.close_reason = "moved"
             self.loop.end(self.task)
 
     def close(self) -> None:
         """Ends the watch for good."""
         self.closed = True
-        if self.pending is not None:
-            self.pending.cancel()
+        if self.reconnect_timer is not None:
+            self.reconnect_timer.cancel()
         if self.task is not None:
             self.loop.end(self.task)
 
-    def _live(self, sock: socket.socket) -> Coroutine[None]:
+    def _run(self, sock: socket.socket) -> Coroutine[None]:
         reason, made = "", self.loop.now()
         try:
             reason = yield from self._watch(sock)
         finally:
             sock.close()
-            reason = reason or ("shutdown" if self.closed else self.ending)
+            reason = reason or ("shutdown" if self.closed else self.close_reason)
             self.log(f"end routes {reason} age={self.loop.now() - made:.2f}")
-            self._again(ENDS.get(reason, CallEnd.FAILED))
+            self._schedule_reconnect(CALL_ENDS.get(reason, CallEnd.FAILED))
 
-    def _again(self, end: CallEnd) -> None:
+    def _schedule_reconnect(self, end: CallEnd) -> None:
         if not self.closed:
-            pause = self.timing.pause(end, self.loop.now(), self.chance)
-            self.pending = self.loop.call_later(pause, self.connect)
+            pause = self.timing.pause(end, self.loop.now(), self.rng)
+            self.reconnect_timer = self.loop.call_later(pause, self.connect)
 
     def _watch(self, sock: socket.socket) -> Coroutine[str]:
-        failed = yield from self.loop.connect(sock, self.address, CONNECT_LIMIT)
+        failed = yield from self.loop.connect(sock, self.address, CONNECT_TIMEOUT)
         if failed:
             return failed
         http = h11.Connection(our_role=h11.CLIENT)
@@ -243,7 +243,7 @@
             yield from self._write(sock, (http.send(request) or b"") + (http.send(h11.EndOfMessage()) or b""))
             return (yield from self._read(sock, http))
         except OSError as error:
-            return broken(error)
+            return error_reason(error)
         except h11.RemoteProtocolError:
             return "bad_http"
         except RouteError as error:
@@ -258,17 +258,17 @@
             try:
                 data = data[sock.send(data) :]
             except BlockingIOError:
-                if (yield from self.loop.wait(OUT, max(0.0, due - self.loop.now()))) == TICK:
+                if (yield from self.loop.wait(OUT, max(0.0, due - self.loop.now()))) == NO_EVENT:
                     raise TimeoutError(errno.ETIMEDOUT, "the call was not taken") from None
 
     def _read(self, sock: socket.socket, http: h11.Connection) -> Coroutine[str]:
-        objects, due = Objects(), self.timing.head_due(self.loop.now())
+        objects, due = ObjectSplitter(), self.timing.head_due(self.loop.now())
         while True:
             event = http.next_event()
             if event is h11.NEED_DATA:
                 # Bytes alone are no sign of life: what drips would keep a watch that never tells anything.
-                if (yield from self.loop.wait(IN, max(0.0, due - self.loop.now()))) == TICK:
-                    self.timing.silent()
+                if (yield from self.loop.wait(IN, max(0.0, due - self.loop.now()))) == NO_EVENT:
+                    self.timing.timed_out()
                     return "silent"
                 try:
                     http.receive_data(sock.recv(65536))
@@ -277,19 +277,19 @@
             elif isinstance(event, h11.Response):
                 if event.status_code != 200:
                     return f"status:{event.status_code}"
-                due = self.loop.now() + SILENCE
+                due = self.loop.now() + SILENCE_TIMEOUT
             elif isinstance(event, h11.Data):
                 try:
                     for text in objects.feed(bytes(event.data)):
-                        self.timing.alive()
-                        due = self.loop.now() + SILENCE
-                        self._object(text)
+                        self.timing.reset()
+                        due = self.loop.now() + SILENCE_TIMEOUT
+                        self._handle_object(text)
                 except LineTooLongError:
                     return "line_too_long"
             elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
                 return "peer_closed"
 
-    def _object(self, text: bytes) -> None:
+    def _handle_object(self, text: bytes) -> None:
         if not text:
             return
         try:
@@ -303,7 +303,7 @@
             raise RouteError(f"revision {routes.revision} goes back")
         self.revision = routes.revision
         try:
-            self.told(routes)
+            self.on_routes(routes)
         except Exception:
             self.revision = None  # it was not taken in whole: the whole list is asked for
             raise
--- a/standflow/net/stream.py
+++ b/standflow/net/stream.py
@@ -22,9 +22,9 @@
     """
 
     resumed: bool
-    offered: bool  # a session, to be taken up again
-    own: float
-    waited: float
+    session_offered: bool  # a session, to be taken up again
+    cpu_seconds: float
+    wait_seconds: float
     round_trip: float
 
 
@@ -35,9 +35,9 @@
     `ended` is empty, or the reason for which nothing more can come.
     """
 
-    left: int
-    ended: str
-    busy: bool  # bytes of its own are to be written, when nothing else is
+    unsent: int
+    end_reason: str
+    wants_write: bool  # bytes of its own are to be written, when nothing else is
     generation: int  # of what the stream was made with; those of an earlier one are replaced in time
 
     @property
@@ -56,13 +56,13 @@
     def read(self, most: int = READ_SIZE) -> bytes:
         """What has come, so much at most, maybe nothing; then `ended` tells whether anything can follow."""
 
-    def fresh(self) -> bool:
+    def usable(self) -> bool:
         """False where an idle stream can't be used for another message."""
 
     def close(self) -> None:
         """Says good-bye as far as that goes without waiting; the socket is closed by its owner."""
 
-    def notes(self) -> str:
+    def log_suffix(self) -> str:
         """What the connection's log line says of it, with a space in front, or nothing."""
 
 
@@ -70,14 +70,14 @@
     """TCP as it is."""
 
     handshake: Handshake | None = None
-    __slots__ = ("busy", "ended", "generation", "left", "out", "sock")
+    __slots__ = ("wants_write", "end_reason", "generation", "unsent", "unsent_parts", "sock")
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        self.out: list[memoryview] = []
-        self.left = 0
-        self.ended = ""
-        self.busy = False
+        self.unsent_parts: list[memoryview] = []
+        self.unsent = 0
+        self.end_reason = ""
+        self.wants_write = False
         self.generation = 0
 
     def open(self) -> Coroutine[str]:
@@ -87,29 +87,29 @@
 
     def write(self, *parts: bytes) -> None:
         """See Stream."""
-        self.left = sum(map(len, parts))
+        self.unsent = sum(map(len, parts))
         try:
             taken = self.sock.send(parts[0]) if len(parts) == 1 else self.sock.sendmsg(parts)
         except BlockingIOError:
             taken = 0
-        if taken < self.left:
-            self.out = [memoryview(part) for part in parts]
-        self._took(taken)
+        if taken < self.unsent:
+            self.unsent_parts = [memoryview(part) for part in parts]
+        self._drop_sent(taken)
 
     def flush(self) -> None:
         """See Stream."""
-        if self.out:
+        if self.unsent_parts:
             try:
-                self._took(self.sock.sendmsg(self.out))
+                self._drop_sent(self.sock.sendmsg(self.unsent_parts))
             except BlockingIOError:
                 return
 
-    def _took(self, taken: int) -> None:
-        self.left -= taken
-        while self.out and taken >= len(self.out[0]):
-            taken -= len(self.out.pop(0))
-        if self.out:
-            self.out[0] = self.out[0][taken:]
+    def _drop_sent(self, taken: int) -> None:
+        self.unsent -= taken
+        while self.unsent_parts and taken >= len(self.unsent_parts[0]):
+            taken -= len(self.unsent_parts.pop(0))
+        if self.unsent_parts:
+            self.unsent_parts[0] = self.unsent_parts[0][taken:]
 
     def read(self, most: int = READ_SIZE) -> bytes:
         """See Stream."""
@@ -118,10 +118,10 @@
         except BlockingIOError:
             return b""
         if not data:
-            self.ended = "peer_closed"
+            self.end_reason = "peer_closed"
         return data
 
-    def fresh(self) -> bool:
+    def usable(self) -> bool:
         """What the other end has closed must not get a command: it would end as a reset."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -134,6 +134,6 @@
     def close(self) -> None:
         """The socket's close says it all."""
 
-    def notes(self) -> str:
+    def log_suffix(self) -> str:
         """Nothing."""
         return ""
--- a/standflow/ops/server.py
+++ b/standflow/ops/server.py
@@ -14,9 +14,9 @@
 
 import h11
 
-from standflow.net.listening import listening
-from standflow.net.loop import IN, OUT, TICK, Coroutine, Loop, Task, broken
-from standflow.net.momentary import at_start
+from standflow.net.listening import tcp_listener
+from standflow.net.loop import IN, NO_EVENT, OUT, Coroutine, Loop, Task, error_reason
+from standflow.net.transient_errors import retry_at_startup
 from standflow.ops.calls import Answer
 
 MOST_CALLS = 32  # connections at once
@@ -45,9 +45,9 @@
         self.loop, self.log, self.answer = loop, log, answer
         self.accepting = True
         self.calls: OrderedDict[Task, None] = OrderedDict()  # the oldest first
-        self.sock = at_start(lambda: listening(address, BACKLOG))
+        self.sock = retry_at_startup(lambda: tcp_listener(address, BACKLOG))
         self.address: tuple[str, int] = self.sock.getsockname()
-        loop.first.add(self.sock.fileno())
+        loop.priority_fds.add(self.sock.fileno())
         self.listener = loop.spawn(self.sock.fileno(), self._listen())
 
     def close(self) -> None:
@@ -60,7 +60,7 @@
         try:
             yield from self.loop.supervised(self._accept_on)
         finally:
-            self.loop.first.discard(number)
+            self.loop.priority_fds.discard(number)
             self.sock.close()
 
     def _accept_on(self) -> Coroutine[None]:
@@ -92,13 +92,13 @@
             self.loop.end(next(iter(self.calls)))
             return True
         sock.setblocking(False)
-        self.loop.first.add(sock.fileno())
+        self.loop.priority_fds.add(sock.fileno())
         call = Call(self, sock)
         try:
             task = call.task = self.loop.spawn(sock.fileno(), call.live())
         except OSError as error:
             self.log(f"ops: {error}")
-            self.loop.first.discard(sock.fileno())
+            self.loop.priority_fds.discard(sock.fileno())
             sock.close()
             return True
         if not call.over:
@@ -122,12 +122,12 @@
         try:
             reason = yield from self._serve()
         except OSError as error:
-            reason = broken(error)
+            reason = error_reason(error)
         finally:
             self.over = True
             if self.task is not None:
                 self.server.calls.pop(self.task, None)
-            self.server.loop.first.discard(number)
+            self.server.loop.priority_fds.discard(number)
             self.sock.close()
             age = self.server.loop.now() - self.made
             self.server.log(f"end ops {reason} {self.what} age={age:.2f}")
@@ -168,7 +168,7 @@
             with contextlib.suppress(BlockingIOError):
                 return self.sock.recv(READ_SIZE)
             left = end - loop.now()
-            if left <= 0 or (yield from loop.wait(IN, left)) == TICK:
+            if left <= 0 or (yield from loop.wait(IN, left)) == NO_EVENT:
                 return None
 
     def _say(self, http: h11.Connection, answer: Answer, reason: str) -> Coroutine[str]:
@@ -190,7 +190,7 @@
             try:
                 out = out[self.sock.send(out) :]
             except BlockingIOError:
-                if (yield from loop.wait(OUT, max(0.0, end - loop.now()))) == TICK:
+                if (yield from loop.wait(OUT, max(0.0, end - loop.now()))) == NO_EVENT:
                     return "slow_reader"
         self.what += f" {answer.status}"
         # Closing over unread bytes would take the answer back.
--- a/standflow/shutdown.py
+++ b/standflow/shutdown.py
@@ -74,9 +74,9 @@
     def answer_all(self) -> None:
         """Answers whatever is open or has come: nobody will later."""
         self._note("answers all")
-        self.clients.dismiss()  # first: what is answered makes room for what was read behind it
+        self.clients.refuse_new()  # first: what is answered makes room for what was read behind it
         left = self.exchange.abandon_all()
-        self.clients.dismiss()  # and for what lies unread: this may be the last round before the end
+        self.clients.refuse_new()  # and for what lies unread: this may be the last round before the end
         for transaction in left[:MOST_DESCRIBED]:
             self.log(f"shutdown: answered at the end: {transaction.describe()}")
         if len(left) > MOST_DESCRIBED:
--- a/standflow/tls/material.py
+++ b/standflow/tls/material.py
@@ -34,9 +34,9 @@
     context: ssl.SSLContext
     generation: int
     stamp: Stamp
-    ends: datetime | None
+    expires_at: datetime | None
     warnings: tuple[str, ...]
-    own: bool  # a client certificate is shown
+    has_client_certificate: bool  # a client certificate is shown
 
 
 def files(options: TlsOptions) -> tuple[str, ...]:
@@ -84,17 +84,17 @@
             raise MaterialError(f"{options.certificate}: {error}") from None
         ends = min(one.not_valid_after_utc for one in chain)
         if (ends - now).total_seconds() < options.warn:
-            warnings.append(ending(options.certificate, ends, now))
+            warnings.append(expiry_warning(options.certificate, ends, now))
     last = min(current, key=lambda root: root.not_valid_after_utc).not_valid_after_utc
     if (last - now).total_seconds() < options.warn:
-        warnings.append(ending(options.roots, last, now))
+        warnings.append(expiry_warning(options.roots, last, now))
     if stamp(options) != before:
         raise MaterialError(f"{options.roots}: the files changed while they were read")
     own = options.certificate is not None
     return Material(context, generation, before, ends, tuple(warnings), own)
 
 
-def ending(path: str, ends: datetime, now: datetime) -> str:
+def expiry_warning(path: str, ends: datetime, now: datetime) -> str:
     """The warning that a certificate ends soon."""
     days = (ends - now).total_seconds() / 86400
     return f"{path}: a certificate ends in {days:.1f} days, at {ends:%Y-%m-%dT%H:%M:%SZ}"
--- a/standflow/tls/reasons.py
+++ b/standflow/tls/reasons.py
@@ -5,7 +5,7 @@
 import ssl
 
 # X509_V_ERR_* of OpenSSL's x509_vfy.h.
-VERIFY = {
+VERIFY_REASONS = {
     2: "unknown_issuer",
     18: "unknown_issuer",  # it stands for itself
     19: "unknown_issuer",  # its chain ends in a root that is not trusted
@@ -58,7 +58,7 @@
 def reason_of(error: ssl.SSLError) -> str:
     """The reason code of an error of OpenSSL's, during a handshake or after it."""
     if isinstance(error, ssl.SSLCertVerificationError):
-        return VERIFY.get(error.verify_code, f"bad_certificate:{error.verify_code}")
+        return VERIFY_REASONS.get(error.verify_code, f"bad_certificate:{error.verify_code}")
     name = error.reason or ""
     for prefix in PREFIXES:
         number = ALERTS.get(name.removeprefix(prefix)) if name.startswith(prefix) else None
--- a/standflow/tls/sessions.py
+++ b/standflow/tls/sessions.py
@@ -12,54 +12,56 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Kept:
+class _StoredSession:
     session: Any
-    until: float
-    once: bool
+    expires_at: float
+    single_use: bool
 
 
 class Sessions:
     """A bounded store for each next hop; the newest is used first."""
 
-    def __init__(self, most: int, life: float) -> None:
-        self.most, self.life = most, life
-        self.kept: dict[str, tuple[Identity, deque[_Kept]]] = {}
+    def __init__(self, limit: int, max_lifetime: float) -> None:
+        self.limit, self.max_lifetime = limit, max_lifetime
+        self.by_hop: dict[str, tuple[Identity, deque[_StoredSession]]] = {}
 
-    def put(self, hop: str, identity: Identity, session: Any, now: float, life: float, once: bool) -> None:
-        """Keeps a session for `life` seconds at most; `once`: a ticket of TLS 1.3, which is used once."""
-        if self.most <= 0 or life <= 0:
+    def put(
+        self, hop: str, identity: Identity, session: Any, now: float, lifetime: float, single_use: bool
+    ) -> None:
+        """Keeps a session for `lifetime` seconds at most; `single_use` is set for TLS 1.3 tickets."""
+        if self.limit <= 0 or lifetime <= 0:
             return
-        held = self.kept.get(hop)
+        held = self.by_hop.get(hop)
         if held is None or held[0] != identity:
-            held = self.kept[hop] = (identity, deque(maxlen=self.most))
-        held[1].append(_Kept(session, now + min(life, self.life), once))
+            held = self.by_hop[hop] = (identity, deque(maxlen=self.limit))
+        held[1].append(_StoredSession(session, now + min(lifetime, self.max_lifetime), single_use))
 
     def take(self, hop: str, identity: Identity, now: float) -> Any | None:
         """A session for a new connection, or None; one that is used once is gone from here."""
-        held = self.kept.get(hop)
+        held = self.by_hop.get(hop)
         if held is None:
             return None
         if held[0] != identity:
-            del self.kept[hop]
+            del self.by_hop[hop]
             return None
         while held[1]:
             kept = held[1].pop()
-            if kept.until > now:
-                if not kept.once:
+            if kept.expires_at > now:
+                if not kept.single_use:
                     held[1].append(kept)
                 return kept.session
-        del self.kept[hop]
+        del self.by_hop[hop]
         return None
 
     def forget(self, hop: str) -> None:
         """The next hop is gone, has started anew or declined one: what is kept is worth nothing."""
-        self.kept.pop(hop, None)
+        self.by_hop.pop(hop, None)
 
     def clear(self) -> None:
         """Roots or the client's certificate have changed."""
-        self.kept.clear()
+        self.by_hop.clear()
 
     def count(self, hop: str) -> int:
         """How many are kept for a next hop."""
-        held = self.kept.get(hop)
+        held = self.by_hop.get(hop)
         return 0 if held is None else len(held[1])
--- a/standflow/tls/stream.py
+++ b/standflow/tls/stream.py
@@ -12,21 +12,21 @@
 import time
 from collections.abc import Callable
 
-from standflow.net.loop import IN, OUT, TICK, Coroutine, Loop, broken
+from standflow.net.loop import IN, NO_EVENT, OUT, Coroutine, Loop, error_reason
 from standflow.net.stream import READ_SIZE, Handshake
 from standflow.tls.reasons import reason_of
 
 CHUNK = 65536  # plain bytes given to OpenSSL, and taken from it, at once
-LONGEST_SETTLE = 0.1  # seconds
+MAX_CONFIRM_WAIT = 0.1  # seconds
 
 
 class TlsStream:
     """See net.stream.Stream; made before the handshake, for one name that the other end must prove."""
 
     __slots__ = (
-        "_ahead", "_done", "_kept", "_loop", "_obj", "_on_declined", "_on_session", "_out", "_plain",
-        "_raw_in", "_raw_out", "_session", "_timeout", "_up", "busy", "ended", "generation", "handshake",
-        "left", "name", "sock",
+        "_done", "_loop", "_message_unsent", "_obj", "_on_declined", "_on_handshake", "_on_session", "_out",
+        "_plain", "_raw_in", "_raw_out", "_session", "_stored_session", "_timeout", "end_reason",
+        "generation", "handshake", "name", "sock", "unsent", "wants_write",
     )  # fmt: skip
 
     def __init__(
@@ -40,25 +40,27 @@
         generation: int,
         on_session: Callable[[ssl.SSLSession, bool], None],
         on_declined: Callable[[], None],
-        up: Callable[[TlsStream, str], None],
+        on_handshake: Callable[[TlsStream, str], None],
     ) -> None:
-        """`timeout`: of the handshake, seconds. `on_session` takes each new session, true if it is used once;
-        `on_declined` is called where the other end would not take up the one it was offered. `up` is told
-        once how the handshake ended: empty, or the reason of its failure.
+        """`timeout` is the handshake timeout in seconds.
+
+        `on_session` gets each new session, with true if it may be used only once. `on_declined` is called
+        when the server did not resume the offered session. `on_handshake` is called once, with the reason
+        code of the failure or an empty string.
         """
         self._loop, self.sock, self.name, self._session = loop, sock, name, session
         self._timeout, self.generation = timeout, generation
-        self._on_session, self._on_declined, self._up = on_session, on_declined, up
+        self._on_session, self._on_declined, self._on_handshake = on_session, on_declined, on_handshake
         self._raw_in, self._raw_out = ssl.MemoryBIO(), ssl.MemoryBIO()
         self._obj = context.wrap_bio(self._raw_in, self._raw_out, server_hostname=name, session=session)
         self._out = memoryview(b"")  # ciphertext that is not written yet
-        self._ahead = 0  # bytes of it up to the last one of the message
+        self._message_unsent = 0  # bytes of it up to the last one of the message
         self._plain: list[memoryview] = []  # what of a long message is not encrypted yet
-        self.left = 0
-        self.busy = False
-        self.ended = ""
+        self.unsent = 0
+        self.wants_write = False
+        self.end_reason = ""
         self._done = False
-        self._kept: ssl.SSLSession | None = None
+        self._stored_session: ssl.SSLSession | None = None
         self.handshake = Handshake(False, session is not None, 0.0, 0.0, 0.0)
 
     # The handshake.
@@ -69,7 +71,7 @@
         try:
             reason = yield from self._open()
         finally:
-            self._up(self, reason)
+            self._on_handshake(self, reason)
         return reason
 
     def _open(self) -> Coroutine[str]:
@@ -83,36 +85,36 @@
             except ssl.SSLWantReadError:
                 pass
             except ssl.SSLError as error:
-                self._say_alert()
+                self._send_alert()
                 return reason_of(error)
             finally:
-                stats.own += time.thread_time() - began
+                stats.cpu_seconds += time.thread_time() - began
             try:
                 self._collect()
                 if self._done:
                     break
                 asked = loop.now()
-                data = yield from self._more(end)
+                data = yield from self._receive(end)
             except OSError as error:
-                return "cut_off" if isinstance(error, ConnectionError) else broken(error)
+                return "cut_off" if isinstance(error, ConnectionError) else error_reason(error)
             if data is None:
                 return "handshake_timeout"
             if not data:
                 return "cut_off"
             if first:
                 stats.round_trip = loop.now() - asked
-            stats.waited += loop.now() - asked
+            stats.wait_seconds += loop.now() - asked
             first = False
             self._raw_in.write(data)
         stats.resumed = bool(self._obj.session_reused)
-        if stats.offered and not stats.resumed:
+        if stats.session_offered and not stats.resumed:
             self._on_declined()  # before any new session is kept
         if not stats.resumed and self._obj.version() == "TLSv1.3":
-            return (yield from self._settled(min(LONGEST_SETTLE, 3 * stats.round_trip + 0.005)))
-        self._harvest()
+            return (yield from self._await_confirmation(min(MAX_CONFIRM_WAIT, 3 * stats.round_trip + 0.005)))
+        self._store_session()
         return ""
 
-    def _more(self, end: float) -> Coroutine[bytes | None]:
+    def _receive(self, end: float) -> Coroutine[bytes | None]:
         """What comes next; None when the time is up."""
         while True:
             try:
@@ -121,12 +123,12 @@
                 pass
             limit = end - self._loop.now()
             mask = IN | OUT if self._out else IN
-            if limit <= 0 or (ready := (yield from self._loop.wait(mask, limit))) == TICK:
+            if limit <= 0 or (ready := (yield from self._loop.wait(mask, limit))) == NO_EVENT:
                 return None
             if ready & OUT:
                 self.flush()
 
-    def _settled(self, limit: float) -> Coroutine[str]:
+    def _await_confirmation(self, limit: float) -> Coroutine[str]:
         """The other end's word on our certificate, or on our having none: TLS 1.3 has it come after our side.
 
         A ticket says yes, an alert no; silence is taken for yes.
@@ -135,22 +137,22 @@
         never ran would count as one that may have.
         """
         end = self._loop.now() + limit
-        while not self._kept:
+        while not self._stored_session:
             try:
-                data = yield from self._more(end)
+                data = yield from self._receive(end)
             except OSError as error:
-                return "cut_off" if isinstance(error, ConnectionError) else broken(error)
+                return "cut_off" if isinstance(error, ConnectionError) else error_reason(error)
             if data is None:
                 return ""
             if not data:
-                return self.ended or "cut_off"
+                return self.end_reason or "cut_off"
             if self._decrypt(data):
                 return "unasked_bytes"
-            if self.ended:
-                return self.ended
+            if self.end_reason:
+                return self.end_reason
         return ""
 
-    def _say_alert(self) -> None:
+    def _send_alert(self) -> None:
         with contextlib.suppress(OSError):
             self._collect()
 
@@ -165,23 +167,23 @@
                 self._obj.write(part)
         else:
             self._plain = [memoryview(part) for part in parts]
-            self._seal()
+            self._encrypt_chunk()
         more = self._raw_out.read()
         self._out = memoryview(bytes(self._out) + more if self._out else more)
-        self._ahead = len(self._out)
+        self._message_unsent = len(self._out)
         self._send()
 
     def flush(self) -> None:
         """See Stream."""
         if not self._out and self._plain:
-            self._seal()
+            self._encrypt_chunk()
             self._out = memoryview(self._raw_out.read())
-            self._ahead = len(self._out)
+            self._message_unsent = len(self._out)
         if self._out:
             self._send()
-        self.busy = bool(self._out or self._plain)
+        self.wants_write = bool(self._out or self._plain)
 
-    def _seal(self) -> None:
+    def _encrypt_chunk(self) -> None:
         """Encrypts the next piece of a long message."""
         room = CHUNK
         while self._plain and room:
@@ -199,9 +201,9 @@
         except BlockingIOError:
             taken = 0
         self._out = self._out[taken:]  # a view: what is left is not copied at each write
-        self._ahead = max(0, self._ahead - taken)
-        self.left = self._ahead + sum(map(len, self._plain))
-        self.busy = self.left > 0
+        self._message_unsent = max(0, self._message_unsent - taken)
+        self.unsent = self._message_unsent + sum(map(len, self._plain))
+        self.wants_write = self.unsent > 0
 
     def _collect(self) -> None:
         """Takes what OpenSSL has to say of its own; it goes behind what is waiting."""
@@ -216,7 +218,7 @@
         except BlockingIOError:
             return b""
         if not data:
-            self.ended = self.ended or "truncated"  # no close_notify: anybody may have cut it
+            self.end_reason = self.end_reason or "truncated"  # no close_notify: anybody may have cut it
             return b""
         return self._decrypt(data)
 
@@ -231,7 +233,7 @@
             while True:
                 more = self._obj.read(CHUNK)
                 if not more:
-                    self.ended = "peer_closed"
+                    self.end_reason = "peer_closed"
                     break
                 plain = plain + more if plain else more
                 if not raw.pending and len(more) < CHUNK:
@@ -239,17 +241,17 @@
         except ssl.SSLWantReadError:
             pass
         except ssl.SSLZeroReturnError:
-            self.ended = "peer_closed"
+            self.end_reason = "peer_closed"
         except ssl.SSLError as error:
-            self.ended = reason_of(error)
+            self.end_reason = reason_of(error)
         if self._raw_out.pending:
             with contextlib.suppress(OSError):  # the socket's own end is read where it comes up
                 self._collect()
-        if self._kept is None:
-            self._harvest()
+        if self._stored_session is None:
+            self._store_session()
         return plain
 
-    def fresh(self) -> bool:
+    def usable(self) -> bool:
         """See Stream: tickets and key updates may lie here unread, which is no reason to give it up."""
         try:
             data = self.sock.recv(READ_SIZE)
@@ -257,29 +259,29 @@
             return True
         except OSError:
             return False
-        return bool(data) and not self._decrypt(data) and not self.ended
+        return bool(data) and not self._decrypt(data) and not self.end_reason
 
-    def _harvest(self) -> None:
+    def _store_session(self) -> None:
         """Keeps the session as soon as it can be taken up again."""
         session = self._obj.session
-        if session is None or self.ended:
+        if session is None or self.end_reason:
             return
         once = self._obj.version() == "TLSv1.3"
-        if (session.has_ticket or not once) and session != self._kept and session != self._session:
-            self._kept = session
+        if (session.has_ticket or not once) and session != self._stored_session and session != self._session:
+            self._stored_session = session
             self._on_session(session, once)
 
     def close(self) -> None:
         """close_notify, where nothing of a message would be cut by it."""
-        if self._done and not self.left and self.ended in ("", "peer_closed"):
+        if self._done and not self.unsent and self.end_reason in ("", "peer_closed"):
             with contextlib.suppress(ssl.SSLError, OSError):
                 self._obj.unwrap()
             with contextlib.suppress(OSError):
                 self._collect()
 
-    def notes(self) -> str:
+    def log_suffix(self) -> str:
         """Version, whether a session was taken up again, and this end's processor time."""
         if not self._done:
             return f" name={self.name}"
         version, stats = self._obj.version() or "", self.handshake
-        return f" {version} resumed={stats.resumed:d} handshake={stats.own * 1000:.2f}ms"
+        return f" {version} resumed={stats.resumed:d} handshake={stats.cpu_seconds * 1000:.2f}ms"
--- a/standflow/tls/streams.py
+++ b/standflow/tls/streams.py
@@ -17,12 +17,12 @@
 from standflow.tls.sessions import Identity, Sessions
 from standflow.tls.stream import TlsStream
 
-WARN_EVERY = 86400.0  # seconds between two warnings of the same end
-COUNT_EVERY = 60.0  # seconds between lines of the log with the counts, where they have changed
-NO_WATCH = 60.0  # seconds between looks at whether a reload has switched the watch on
+WARN_INTERVAL = 86400.0  # seconds between two warnings of the same end
+COUNT_INTERVAL = 60.0  # seconds between lines of the log with the counts, where they have changed
+DISABLED_WATCH_INTERVAL = 60.0  # seconds between looks at whether a reload has switched the watch on
 
 
-class Nameless(PlainStream):
+class UnnamedStream(PlainStream):
     """A next hop that no rule has a name for: nothing is ever written to it."""
 
     def open(self) -> Coroutine[str]:
@@ -37,17 +37,17 @@
     def __init__(self, loop: Loop, log: Callable[[str], None], options: TlsOptions) -> None:
         """MaterialError where the files can't be used. `changed` is told each further generation."""
         self.loop, self.log, self.options = loop, log, options
-        self.changed: Callable[[int], None] = lambda generation: None
+        self.on_change: Callable[[int], None] = lambda generation: None
         self.material: Material = material.load(options, 1)
         self.sessions = Sessions(options.sessions, options.session_life)
         self.full = self.resumed = self.failed = self.declined = 0
-        self._refused: tuple[str, material.Stamp] | None = None  # what was complained of last
-        self._seen = self.material.stamp
-        self._told = ""
-        self._say(self.material)
-        loop.every(COUNT_EVERY, self.tell_counts)
-        loop.every(WARN_EVERY, self._remind)
-        loop.every(lambda: self.options.watch or NO_WATCH, self._watch)
+        self._last_error: tuple[str, material.Stamp] | None = None  # what was complained of last
+        self._last_stamp = self.material.stamp
+        self._logged_counts = ""
+        self._log_loaded(self.material)
+        loop.every(COUNT_INTERVAL, self.log_counts)
+        loop.every(WARN_INTERVAL, self._remind)
+        loop.every(lambda: self.options.watch or DISABLED_WATCH_INTERVAL, self._watch)
 
     @property
     def generation(self) -> int:
@@ -61,21 +61,21 @@
         name = name_for(self.options, route.hop, route.zone, route.kind)
         if name is None:
             self.log(f"tls: no rule names next hop {route.hop} ({route.zone}, {route.kind})")
-            return Nameless(sock)
+            return UnnamedStream(sock)
         using, identity = self.material, self._identity(route, name)
         session = self.sessions.take(route.hop, identity, self.loop.now())
 
-        def keep(session: ssl.SSLSession, once: bool) -> None:
+        def keep(session: ssl.SSLSession, single_use: bool) -> None:
             if using is self.material:
-                life = float(session.ticket_lifetime_hint or session.timeout)
-                self.sessions.put(route.hop, identity, session, self.loop.now(), life, once)
+                lifetime = float(session.ticket_lifetime_hint or session.timeout)
+                self.sessions.put(route.hop, identity, session, self.loop.now(), lifetime, single_use)
 
         def declined() -> None:
             self.declined += 1
             self.sessions.forget(route.hop)  # it has lost them all, most likely by a restart
 
         def up(stream: TlsStream, reason: str) -> None:
-            self._up(route, stream, reason)
+            self._handshake_ended(route, stream, reason)
 
         return TlsStream(
             self.loop,
@@ -101,7 +101,7 @@
     def _identity(self, route: Route, name: str) -> Identity:
         return (route.address, route.up_since, name, self.material.generation)
 
-    def _up(self, route: Route, stream: TlsStream, reason: str) -> None:
+    def _handshake_ended(self, route: Route, stream: TlsStream, reason: str) -> None:
         if reason == "given_up":
             return
         if reason:
@@ -127,14 +127,14 @@
 
     def _take(self, options: TlsOptions) -> None:
         self.material = material.load(options, self.material.generation + 1)
-        self.options, self._refused = options, None
-        self._seen = self.material.stamp
+        self.options, self._last_error = options, None
+        self._last_stamp = self.material.stamp
         self.sessions.clear()
-        self.sessions.most, self.sessions.life = options.sessions, options.session_life
-        self._say(self.material)
-        self.changed(self.material.generation)
+        self.sessions.limit, self.sessions.max_lifetime = options.sessions, options.session_life
+        self._log_loaded(self.material)
+        self.on_change(self.material.generation)
 
-    def _say(self, using: Material) -> None:
+    def _log_loaded(self, using: Material) -> None:
         self.log(f"tls: set {using.generation} in use: {', '.join(material.files(self.options))}")
         for warning in using.warnings:
             self.log(f"tls: {warning}")
@@ -144,14 +144,14 @@
         if not self.options.watch:
             return
         found = material.stamp(self.options)
-        still, self._seen = found == self._seen, found
+        still, self._last_stamp = found == self._last_stamp, found
         if found == self.material.stamp or not still:
             return
         try:
             self._take(self.options)
         except MaterialError as error:
-            if self._refused != (str(error), found):
-                self._refused = (str(error), found)
+            if self._last_error != (str(error), found):
+                self._last_error = (str(error), found)
                 self.log(f"tls: {error}; the set before stays in use")
 
     def counts(self) -> str:
@@ -163,13 +163,13 @@
             f"failed={self.failed} declined={self.declined}"
         )
 
-    def tell_counts(self) -> None:
+    def log_counts(self) -> None:
         """A line of the log, unless it would say the same again."""
-        if (counts := self.counts()) != self._told:
-            self._told = counts
+        if (counts := self.counts()) != self._logged_counts:
+            self._logged_counts = counts
             self.log(f"tls: handshakes {counts}")
 
     def _remind(self) -> None:
-        now, ends = datetime.now(UTC), self.material.ends
+        now, ends = datetime.now(UTC), self.material.expires_at
         if ends is not None and ends - now < timedelta(seconds=self.options.warn):
-            self.log(f"tls: {material.ending(self.options.certificate or '', ends, now)}")
+            self.log(f"tls: {material.expiry_warning(self.options.certificate or '', ends, now)}")
--- a/tests/test_always_answered.py
+++ b/tests/test_always_answered.py
@@ -19,7 +19,7 @@
 from standflow.net.loop import Loop
 from tests.test_connections import Recorder
 from tests.test_endings import Wired, known
-from tests.wire import LIMIT, command, config, listener, program, read_until, turn_until
+from tests.wire import LIMIT, command, config, listener, program, read_until, run_until
 
 PING = b"*1\r\n$4\r\nPING\r\n"
 MANY = 2 * MAX_PIPELINED + 20  # commands in one write, and in one read of the ingress
@@ -32,7 +32,7 @@
     def __init__(self) -> None:
         self.at = Recorder()
         self.side = ClientSide(self.at.loop, self.at.log.append, self.at.exchange, ("127.0.0.1", 0), 10)
-        self.side.open()
+        self.side.start_serving()
         self.client = socket.create_connection(self.side.address)
         self.got = b""
 
@@ -59,12 +59,12 @@
 
     def answered(self, expected: bytes) -> None:
         """Waits for just these answers."""
-        turn_until(self.at.loop, lambda: self.reads(len(expected)))
+        run_until(self.at.loop, lambda: self.reads(len(expected)))
         assert self.got == expected
 
     def ended(self) -> None:
         """The ingress has ended the connection, by no reset."""
-        turn_until(self.at.loop, lambda: select.select([self.client], [], [], 0)[0])
+        run_until(self.at.loop, lambda: select.select([self.client], [], [], 0)[0])
         assert self.client.recv(100) == b""
 
     def close(self) -> None:
@@ -111,17 +111,17 @@
     """Also what could not be opened yet, as too many were open."""
     one = Pipelined()
     if pressing:
-        turn_until(one.at.loop, lambda: one.side.connections)
-        one.side.draining = one.side.pressing = True
+        run_until(one.at.loop, lambda: one.side.connections)
+        one.side.draining = one.side.drain_expired = True
     one.send(MANY)
-    turn_until(one.at.loop, lambda: len(one.at.opened) == MAX_PIPELINED)
+    run_until(one.at.loop, lambda: len(one.at.opened) == MAX_PIPELINED)
     connection = next(iter(one.side.connections))
     assert connection.buffer.data
     if not pressing:
-        one.side._leave(connection)
+        one.side._drain_connection(connection)
     for number in range(MANY):
         due = number + 1
-        turn_until(one.at.loop, lambda: len(one.at.opened) >= due)  # noqa: B023
+        run_until(one.at.loop, lambda: len(one.at.opened) >= due)  # noqa: B023
         one.at.exchange.refuse(one.at.opened[number].name, 0.25)
     one.answered(MANY * BUSY)
     one.ended()
@@ -138,18 +138,18 @@
         loop = Loop(log.append)
         ingress = Ingress(read(config(known=known(hop)), log.append), loop, log.append)
         ingress.start()
-        turn_until(loop, lambda: ingress.clients.ready)
+        run_until(loop, lambda: ingress.clients.ready)
         monkeypatch.setattr(ingress.exchange, "decisions", Undecided())
         client = socket.create_connection(ingress.clients.address, LIMIT)
         sent = b"".join(command(f"{n:04x}", d=60_000) for n in range(many))
         client.sendall(sent)
-        turn_until(loop, lambda: ingress.exchange.open_count == MAX_PIPELINED)
+        run_until(loop, lambda: ingress.exchange.open_count == MAX_PIPELINED)
         ingress.stop()
         ingress.shutdown.answer_all()
         assert ingress.exchange.open_count == 0
         assert ingress.exchange.ends["look"].taken == MAX_PIPELINED
         if not held_up:
-            turn_until(loop, lambda: loop.stopped)
+            run_until(loop, lambda: loop.stopped)
         ingress.close()
         got = b""
         while more := client.recv(65536):
@@ -170,7 +170,7 @@
 def test_after_a_row_of_failures_of_every_kind_the_next_request_is_taken_and_sent_on() -> None:
     """Nothing that ended badly is still counted as open."""
     with listener() as hop:
-        wired = Wired(hop.getsockname(), rest=0.0)
+        wired = Wired(hop.getsockname(), cool_down=0.0)
         wired.at.exchange.max_open = 2
         for number in range(12):
             client, ended = wired.ask(f"aa{number:02}"), len(wired.at.ended)
@@ -178,14 +178,14 @@
             at_backend = wired.accept(hop)
             if number % 4 == 0:
                 client.close()
-                turn_until(wired.at.loop, lambda: wired.at.exchange.open_count == 0)
+                run_until(wired.at.loop, lambda: wired.at.exchange.open_count == 0)
             if number % 4 != 1:
                 at_backend.sendall((b"-BUSY\r\n", b"", b"*9\r\n", b"-ERR failed\r\n")[number % 4])
             at_backend.close()
-            turn_until(wired.at.loop, lambda: len(wired.at.ended) > ended)  # noqa: B023
+            run_until(wired.at.loop, lambda: len(wired.at.ended) > ended)  # noqa: B023
             wired.at.exchange.fail(wired.at.opened[-1].name)
             client.close()
-            turn_until(wired.at.loop, lambda: not wired.hops.connections)
+            run_until(wired.at.loop, lambda: not wired.hops.connections)
         assert wired.hops.forwards == 12
         assert wired.at.exchange.open_count == 0
         assert wired.at.exchange.transactions == {}
@@ -205,7 +205,7 @@
         loop = Loop(log.append)
         ingress = Ingress(read(config(known=known(hop)), log.append), loop, log.append)
         ingress.start()
-        turn_until(loop, lambda: ingress.clients.ready)
+        run_until(loop, lambda: ingress.clients.ready)
 
         def ask(ident: str) -> socket.socket:
             client = stack.enter_context(socket.create_connection(ingress.clients.address, LIMIT))
@@ -213,9 +213,9 @@
             return client
 
         def sent_on() -> socket.socket:
-            turn_until(loop, lambda: select.select([hop], [], [], 0)[0])
+            run_until(loop, lambda: select.select([hop], [], [], 0)[0])
             at_backend = stack.enter_context(hop.accept()[0])
-            turn_until(loop, lambda: select.select([at_backend], [], [], 0)[0])
+            run_until(loop, lambda: select.select([at_backend], [], [], 0)[0])
             return at_backend
 
         ask("aa01")
@@ -227,7 +227,7 @@
                 lacking.setattr(loop, "open_socket", none_left)
             for number in range(5):
                 refused = ask(f"bb{number:02}")
-                turn_until(loop, lambda: select.select([refused], [], [], 0)[0])  # noqa: B023
+                run_until(loop, lambda: select.select([refused], [], [], 0)[0])  # noqa: B023
                 assert refused.recv(100).startswith(b"-BUSY")
         assert ingress.driver.avoided() == set()
         ask("aa02")
--- a/tests/test_attempt_time.py
+++ b/tests/test_attempt_time.py
@@ -10,7 +10,7 @@
 from standflow.net.client_side import ClientSide
 from tests.test_connections import Recorder
 from tests.test_endings import Greeted, Wired
-from tests.wire import command, listener, turn_until
+from tests.wire import command, listener, run_until
 
 TIME_MS = 60_000  # that the client of `Wired.ask` waits
 PASSES = 0.06  # seconds
@@ -27,7 +27,7 @@
     def passes(self) -> None:
         """Time passes; the loop goes on."""
         end = time.monotonic() + PASSES
-        turn_until(self.wired.at.loop, lambda: time.monotonic() > end)
+        run_until(self.wired.at.loop, lambda: time.monotonic() > end)
 
     def left(self) -> float:
         """Milliseconds that are left at the most: what has passed since the request was taken has passed."""
@@ -44,7 +44,7 @@
             data += sock.recv(65536)
         return data.endswith(b"first=0\r\n")
 
-    turn_until(wired.at.loop, whole)
+    run_until(wired.at.loop, whole)
     match = re.search(rb",d=(\d+)", data)
     assert match is not None
     return float(match[1])
@@ -67,14 +67,14 @@
 
 def test_a_further_attempt_has_what_the_first_one_left_whatever_time_it_is_given() -> None:
     with listener() as hop:
-        wired = Wired(hop.getsockname(), rest=0.0)
+        wired = Wired(hop.getsockname(), cool_down=0.0)
         asked = Asked(wired)
         wired.send()
         first = hop.accept()[0]
         told(wired, first)
         asked.passes()
         first.sendall(b"-BUSY\r\n")
-        turn_until(wired.at.loop, lambda: wired.at.ended)
+        run_until(wired.at.loop, lambda: wired.at.ended)
         left = asked.left()
         wired.send(2 * TIME_MS / 1000)  # on a connection that is up
         assert told(wired, first) <= left
@@ -92,26 +92,26 @@
     """At the cap nobody is accepted while all have a request open."""
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 1)
-    side.open()
+    side.start_serving()
     clients = [socket.create_connection(side.address) for _ in range(3)]
 
     def accepted(opened: int) -> None:
-        turn_until(at.loop, lambda: len(at.opened) == opened)
+        run_until(at.loop, lambda: len(at.opened) == opened)
 
     clients[0].sendall(command("aa01", d=TIME_MS))
     accepted(1)
     clients[1].sendall(command("aa02", d=TIME_MS))
     sent = at.loop.now()
     end = sent + PASSES
-    turn_until(at.loop, lambda: at.loop.now() > end)
+    run_until(at.loop, lambda: at.loop.now() > end)
     clients[0].close()
     accepted(2)
     assert at.opened[1].deadline - TIME_MS / 1000 <= sent
     clients[1].close()
-    turn_until(
+    run_until(
         at.loop, lambda: len(at.gone) == 2 and side.connections
     )  # the third has come to wait, and sent nothing
-    earliest = at.loop.polled
+    earliest = at.loop.last_poll
     clients[2].sendall(command("aa03", d=TIME_MS))
     accepted(3)
     assert at.opened[2].deadline - TIME_MS / 1000 >= earliest
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -13,12 +13,12 @@
 from standflow.config import read
 from standflow.exchange import Outcome, Served
 from standflow.net import resp
-from standflow.net.client_connection import MAX_PIPELINED, PAUSE_OUT
+from standflow.net.client_connection import MAX_PIPELINED, PAUSE_UNSENT
 from standflow.net.client_side import ClientSide
 from standflow.net.loop import Loop
 from tests.test_connections import Recorder
 from tests.test_endings import Wired, known
-from tests.wire import command, config, listener, turn_until
+from tests.wire import command, config, listener, run_until
 
 FEW_ROUNDS = 5  # of the loop, in which a close is noticed: by events, never by a timer
 HOUR = 3600_000
@@ -35,10 +35,10 @@
 
 def noticed(loop: Loop, met: Callable[[], object]) -> None:
     """The loop hears of it at once, with no timer of its own to wake it."""
-    end = loop.round + FEW_ROUNDS
+    end = loop.iteration + FEW_ROUNDS
     while not met():
-        assert loop.round < end
-        loop.turn()
+        assert loop.iteration < end
+        loop.run_once()
 
 
 @pytest.mark.parametrize("leaves", CLOSES.values(), ids=CLOSES)
@@ -47,18 +47,18 @@
 ) -> None:
     """The decision module asks for it all the same, as one would that has not heard yet."""
     with listener() as hop:
-        wired = Wired(hop.getsockname(), rest=0.0)
+        wired = Wired(hop.getsockname(), cool_down=0.0)
         client = wired.ask("aa01")
         name = wired.at.opened[-1].name
         wired.send()
         at_backend = wired.accept(hop)
         at_backend.sendall(b"-BUSY\r\n")
-        turn_until(wired.at.loop, lambda: wired.at.ended)
+        run_until(wired.at.loop, lambda: wired.at.ended)
         leaves(client)
         noticed(wired.at.loop, lambda: wired.at.gone)
         assert wired.at.exchange.send(name, "s-1", None) is None
         wired.at.loop.call_later(0.0, int)
-        wired.at.loop.turn()
+        wired.at.loop.run_once()
         assert not select.select([at_backend, hop], [], [], 0)[0]
         assert wired.hops.forwards == 1
         at_backend.close()
@@ -90,17 +90,17 @@
             read(config(known=known(hop), discovery="127.0.0.1:1"), log.append), loop, log.append
         )
         ingress.start()
-        turn_until(loop, lambda: ingress.clients.ready)
+        run_until(loop, lambda: ingress.clients.ready)
         client = socket.create_connection(ingress.clients.address)
         client.sendall(command("aa01", d=3000))
-        turn_until(loop, lambda: ingress.next_hops.forwards == 1)
+        run_until(loop, lambda: ingress.next_hops.forwards == 1)
         module = ingress.driver.module
         assert module.timers
         client.close()
-        turn_until(loop, lambda: not module.requests)
+        run_until(loop, lambda: not module.requests)
         for handle in list(module.timers):
             ingress.driver._timer(handle)
-        turn_until(loop, lambda: not ingress.exchange.open_count)
+        run_until(loop, lambda: not ingress.exchange.open_count)
         assert ingress.next_hops.forwards == 1
         assert len(ingress.next_hops.hops["s-1"].connections) == 1
         ingress.close()
@@ -118,7 +118,7 @@
         self.side = ClientSide(
             self.at.loop, self.at.log.append, self.at.exchange, ("127.0.0.1", 0), 10, max_bodies=100_000
         )
-        self.side.open()
+        self.side.start_serving()
         self.others: list[socket.socket] = []
         self.client = self.connect(b"")
 
@@ -129,20 +129,20 @@
         client.connect(self.side.address)
         client.sendall(sent)
         connections = len(self.side.connections)
-        turn_until(self.at.loop, lambda: len(self.side.connections) > connections)
+        run_until(self.at.loop, lambda: len(self.side.connections) > connections)
         self.others.append(client)
         return client
 
     def ask(self, *idents: str) -> None:
         """The client's requests, taken in."""
         self.client.sendall(b"".join(command(ident, d=HOUR // 10) for ident in idents))
-        turn_until(self.at.loop, lambda: len(self.at.opened) == len(idents))
+        run_until(self.at.loop, lambda: len(self.at.opened) == len(idents))
 
     def pipelined(self) -> None:
         """So many requests that further ones wait in the kernel, or in the ingress."""
         many = [f"aa{number:02x}" for number in range(MAX_PIPELINED + 20)]
         self.client.sendall(b"".join(command(ident, d=HOUR // 10) for ident in many))
-        turn_until(self.at.loop, lambda: len(self.at.opened) == MAX_PIPELINED)
+        run_until(self.at.loop, lambda: len(self.at.opened) == MAX_PIPELINED)
 
     def slow_reader(self) -> None:
         """Answers that the client does not take."""
@@ -151,23 +151,23 @@
         self.ask("aa01", "aa02")
         first = self.at.opened[0]
         first.open = False
-        first.reply(Served(b"x" * (3 * PAUSE_OUT)))
-        assert len(connection.out) > PAUSE_OUT
+        first.reply(Served(b"x" * (3 * PAUSE_UNSENT)))
+        assert len(connection.unsent) > PAUSE_UNSENT
 
     def draining(self) -> None:
         """The connection takes no more requests."""
         self.ask("aa01")
-        self.side._leave(next(iter(self.side.connections)))
+        self.side._drain_connection(next(iter(self.side.connections)))
 
     def long_body(self) -> None:
         """A long body behind the request waits for room."""
         size = resp.MAX_VALUE + 1000
         head = command("bb01", body=b"x" * size)[: -size // 2]
         self.connect(head)
-        turn_until(self.at.loop, lambda: self.side.bodies.used)
+        run_until(self.at.loop, lambda: self.side.body_budget.used)
         self.ask("aa01")
         self.client.sendall(head.replace(b"bb01", b"bb02"))
-        turn_until(self.at.loop, lambda: self.side.bodies.waiting)
+        run_until(self.at.loop, lambda: self.side.body_budget.waiting)
 
     def close(self) -> None:
         """All ends."""
@@ -204,23 +204,23 @@
     """What lies unread is taken before a connection is judged; the close lies behind it."""
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 10)
-    side.open()
+    side.start_serving()
     client = socket.create_connection(side.address)
     client.sendall(b"*1\r\n$4\r\nPING\r\n")
-    turn_until(at.loop, lambda: select.select([client], [], [], 0)[0])
+    run_until(at.loop, lambda: select.select([client], [], [], 0)[0])
     client.recv(100)
     connection = next(iter(side.connections))
-    connection.made -= 60.0
+    connection.created_at -= 60.0
     client.sendall(command("aa01"))
     client.close()
-    side.draining = side.pressing = looks != "the cap"
+    side.draining = side.drain_expired = looks != "the cap"
     if looks == "the cap":
-        side._make_room()
+        side._evict_idle()
     elif looks == "a drain":
-        side._press(side.drains)
+        side._expire_drain(side.drain_count)
     else:
         side._sweep()
-    turn_until(at.loop, lambda: not side.connections)
+    run_until(at.loop, lambda: not side.connections)
     assert at.opened == []
     at.close()
 
@@ -231,11 +231,11 @@
         wired = Wired(hop.getsockname())
         client = wired.ask("aa01")
         wired.at.loop.call_later(0.0, int)
-        wired.at.loop.turn()  # else the client's connection, which was ready last, would be told first
+        wired.at.loop.run_once()  # else the client's connection, which was ready last, would be told first
         wired.send()  # the connection is up by now, and the loop has not heard of it
         client.close()
         noticed(wired.at.loop, lambda: wired.at.gone)
-        wired.at.loop.turn()
+        wired.at.loop.run_once()
         assert wired.at.exchange.transactions == {}
         assert wired.hops.forwards == 0
         assert hop.accept()[0].recv(100) == b""
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -28,10 +28,10 @@
 )
 from standflow.net import resp
 from standflow.net.client_connection import MAX_PIPELINED
-from standflow.net.client_side import MAX_HALF, SPEAK_WITHIN, ClientSide
+from standflow.net.client_side import FIRST_COMMAND_TIMEOUT, MAX_READ_STALLS, ClientSide
 from standflow.net.loop import Loop
 from standflow.net.nexthop import NextHops
-from tests.wire import command, listener, read_until, turn_until
+from tests.wire import command, listener, read_until, run_until
 
 STEPS = settings(derandomize=True, max_examples=60, stateful_step_count=30, deadline=None)
 ASK = resp.decode_command([b"Q.ASK", b"%016x" % 7, b"aa", b"c=look,t=plain,d=600000,units=1"])
@@ -80,7 +80,7 @@
         self.side = ClientSide(self.at.loop, self.at.log.append, self.at.exchange, ("127.0.0.1", 0), 10)
         self.side.ready = True
         self.caller = socket.create_connection(self.side.address)
-        turn_until(self.at.loop, lambda: len(self.side.connections) == 1)
+        run_until(self.at.loop, lambda: len(self.side.connections) == 1)
         self.owed: deque[list[bytes | None]] = deque()  # one cell an answer, in order
         self.open: list[tuple[Transaction, list[bytes | None]]] = []
         self.serial = 0
@@ -100,7 +100,7 @@
                     return False
                 return len(got) >= len(due)
 
-            turn_until(self.at.loop, read)
+            run_until(self.at.loop, read)
             self.caller.setblocking(True)
             assert bytes(got) == due
             self.left()
@@ -112,9 +112,9 @@
         text = command(f"{self.serial:04x}")
         self.caller.sendall(text[:cut])
         self.at.loop.call_later(0, int)
-        self.at.loop.turn()
+        self.at.loop.run_once()
         self.caller.sendall(text[cut:])
-        turn_until(self.at.loop, lambda: len(self.at.opened) == self.serial)
+        run_until(self.at.loop, lambda: len(self.at.opened) == self.serial)
         cell: list[bytes | None] = [None]
         self.owed.append(cell)
         self.open.append((self.at.opened[-1], cell))
@@ -152,17 +152,17 @@
         if not self.side.draining or self.open or not next(iter(self.side.connections)).answered:
             return
         assert self.side.pong().startswith(b"-ERR")
-        turn_until(self.at.loop, self.gone)
+        run_until(self.at.loop, self.gone)
         self.at.log.clear()
         self.caller = socket.create_connection(self.side.address)
-        turn_until(self.at.loop, lambda: len(self.side.connections) == 1)
+        run_until(self.at.loop, lambda: len(self.side.connections) == 1)
 
     def gone(self) -> bool:
         """The caller sees the end, and closes as well."""
         if select.select([self.caller], [], [], 0)[0]:
             assert self.caller.recv(10) == b""
             self.caller.close()
-            turn_until(self.at.loop, lambda: not self.side.connections)
+            run_until(self.at.loop, lambda: not self.side.connections)
             return True
         return False
 
@@ -175,7 +175,7 @@
     def teardown(self) -> None:
         if hasattr(self, "at"):
             self.caller.close()
-            turn_until(self.at.loop, lambda: not self.side.connections)
+            run_until(self.at.loop, lambda: not self.side.connections)
             # each transaction still open hears that its caller has left, and the connection leaves one line
             assert self.at.gone == [transaction for transaction, _ in self.open]
             assert sum(line.startswith("end caller") for line in self.at.log) == 1
@@ -206,7 +206,7 @@
 
     def tell(self, phase: Phase) -> None:
         route = Route("s-1", self.hop.getsockname()[:2], "z1", "std", 0, phase, 1.0, None)
-        self.side.routes_told(RouteSet(1, True, (route,)))
+        self.side.update_routes(RouteSet(1, True, (route,)))
         self.serving = phase is Phase.SERVING
 
     def send(self) -> Branch:
@@ -225,7 +225,7 @@
         else:
             sock = self.accepted()
             sock.settimeout(20)
-        turn_until(self.at.loop, lambda: branch.carrier.whole)
+        run_until(self.at.loop, lambda: branch.carrier.fully_written)
         read_until(sock, b"units=1\r\n")
         self.busy.append((branch, sock))
 
@@ -256,7 +256,7 @@
             sock.close()
             self.ends += 1
         self.expected[branch] = outcome
-        turn_until(self.at.loop, lambda: branch.ended is not None)
+        run_until(self.at.loop, lambda: branch.ended is not None)
 
     @precondition(lambda self: self.busy)
     @rule(which=st.integers(0, 1000))
@@ -275,7 +275,7 @@
         self.idle.pop().close()
         self.ends += 1
         if noticed:
-            turn_until(self.at.loop, lambda: len(self.lines()) == self.ends)
+            run_until(self.at.loop, lambda: len(self.lines()) == self.ends)
         elif self.serving and len(self.busy) < 8:
             self.begin()
 
@@ -299,7 +299,7 @@
 
     def teardown(self) -> None:
         if hasattr(self, "at"):
-            turn_until(self.at.loop, lambda: len(self.lines()) == self.ends)
+            run_until(self.at.loop, lambda: len(self.lines()) == self.ends)
             assert self.side.connections == len(self.busy) + len(self.idle)
             assert not [line for line in self.at.log if "fault" in line]
             for sock in [self.hop, *self.idle, *(s for _, s in self.busy)]:
@@ -319,14 +319,14 @@
     at.exchange.next_hops = side
     route = Route("s-1", hop.getsockname()[:2], "z1", "std", 0, Phase.SERVING, 1.0, None)
     hop.close()
-    side.routes_told(RouteSet(1, True, (route,)))
+    side.update_routes(RouteSet(1, True, (route,)))
     finals: list[object] = []
     request = Request("look", "plain", "7", 60.0, 1.0, 1, 0, ASK)
     transaction = at.exchange.open(request, at.loop.now(), finals.append)
     for name in ("s-1", "s-unheard"):
         at.exchange.send(transaction.name, name, None)
     assert at.ended == []  # an outcome never comes within the call that asked for it
-    turn_until(at.loop, lambda: len(at.ended) == 2)
+    run_until(at.loop, lambda: len(at.ended) == 2)
     assert [outcome for _, outcome in at.ended] == [Outcome.CONNECT_FAILED] * 2
     at.exchange.refuse(transaction.name, None)
     assert finals == [Refused(None)]
@@ -345,12 +345,12 @@
         side = NextHops(at.loop, at.log.append, at.exchange, 60.0, 5.0, 0.06, 10)
         at.exchange.next_hops = side
         route = Route("s-1", hop.getsockname()[:2], "z1", "std", 0, Phase.SERVING, 1.0, None)
-        side.routes_told(RouteSet(1, True, (route,)))
+        side.update_routes(RouteSet(1, True, (route,)))
         request = Request("look", "plain", "7", 60.0, 1.0, 1, 0, ASK)
         transaction = at.exchange.open(request, at.loop.now(), lambda final: None)
         at.exchange.send(transaction.name, "s-1", None)
-        side.routes_told(RouteSet(2, True, ()))
-        turn_until(at.loop, lambda: at.ended)
+        side.update_routes(RouteSet(2, True, ()))
+        run_until(at.loop, lambda: at.ended)
         assert at.ended[0][1] is Outcome.CONNECT_FAILED
         assert any("end nexthop s-1 drained" in line for line in at.log)
         for sock in full:
@@ -369,7 +369,7 @@
             branch = Branch(transaction, 0, "s-1", 0.0, 0.0)
             transaction.branches.append(branch)
             transaction.out += 1
-        turn_until(at.loop, lambda: got)  # noqa: B023
+        run_until(at.loop, lambda: got)  # noqa: B023
         assert at.loop.now() >= transaction.deadline - Exchange.GUARD
         assert at.gone[number] is transaction
         at.exchange.refuse(transaction.name, 1.0)
@@ -389,14 +389,14 @@
     side = NextHops(at.loop, at.log.append, at.exchange, 60.0, 600.0, 60.0, 10)
     at.exchange.next_hops = side
     route = Route("s-1", hop.getsockname()[:2], "z1", "std", 0, Phase.SERVING, 1.0, None)
-    side.routes_told(RouteSet(1, True, (route,)))
+    side.update_routes(RouteSet(1, True, (route,)))
     request = Request("look", "plain", "7", 600.0, 1.0, 1, 0, ASK)
     branch = at.exchange.send(at.exchange.open(request, at.loop.now(), lambda final: None).name, "s-1", None)
     with hop.accept()[0] as sock:
         assert branch is not None
-        turn_until(at.loop, lambda: branch.carrier.whole)
+        run_until(at.loop, lambda: branch.carrier.fully_written)
         sock.sendall(b"*3\r\n$900\r\nvalue\r\n$-1\r\n$-1\r\n")
-        turn_until(at.loop, lambda: at.ended)
+        run_until(at.loop, lambda: at.ended)
     assert at.ended == [(branch, Outcome.ERROR)]
     assert any("end nexthop s-1 stalled" in line for line in at.log)
     hop.close()
@@ -425,7 +425,7 @@
     side = NextHops(at.loop, at.log.append, at.exchange, 60.0, 600.0, 60.0, 10)
     at.exchange.next_hops = side
     route = Route("s-1", hop.getsockname()[:2], "z1", "std", 0, Phase.SERVING, 1.0, None)
-    side.routes_told(RouteSet(1, True, (route,)))
+    side.update_routes(RouteSet(1, True, (route,)))
     request = Request("look", "plain", "7", 60.0, 1.0, 1, 0, ASK)
     names = [at.exchange.open(request, at.loop.now(), lambda final: None).name for _ in range(2)]
     told = at.branch_ended
@@ -439,13 +439,13 @@
     at.branch_ended = branch_ended  # type: ignore[method-assign]
     at.exchange.send(names[0], "s-1", None)
     first, _ = hop.accept()
-    turn_until(at.loop, lambda: at.exchange.transactions[names[0]].branches[0].carrier.whole)
+    run_until(at.loop, lambda: at.exchange.transactions[names[0]].branches[0].carrier.fully_written)
     first.sendall(b"-BUSY\r\n")
-    turn_until(at.loop, lambda: at.ended)
+    run_until(at.loop, lambda: at.ended)
     second, _ = hop.accept()
-    turn_until(at.loop, lambda: at.exchange.transactions[names[1]].branches[0].carrier.whole)
+    run_until(at.loop, lambda: at.exchange.transactions[names[1]].branches[0].carrier.fully_written)
     second.sendall(b"-BUSY\r\n")
-    turn_until(at.loop, lambda: len(at.ended) == 2)
+    run_until(at.loop, lambda: len(at.ended) == 2)
     assert [outcome for _, outcome in at.ended] == [Outcome.FULL, Outcome.FULL]
     for sock in (hop, first, second):
         sock.close()
@@ -458,13 +458,13 @@
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 4)
     with socket.create_connection(side.address) as caller:
         caller.sendall(b"*1\r\n$4\r\nPING\r\n" + command("0001", d=300))
-        turn_until(at.loop, lambda: side.connections)
+        run_until(at.loop, lambda: side.connections)
         began = at.loop.now()
-        turn_until(at.loop, lambda: at.loop.now() > began + 0.05)
+        run_until(at.loop, lambda: at.loop.now() > began + 0.05)
         assert at.opened == []
         assert not select.select([caller], [], [], 0)[0]
-        side.open()
-        turn_until(at.loop, lambda: at.opened)
+        side.start_serving()
+        run_until(at.loop, lambda: at.opened)
         assert at.opened[0].deadline <= began + 0.3  # of the connection's beginning, not of when it was read
         assert read_until(caller, b"\r\n") == b"+PONG\r\n"
     at.close()
@@ -474,15 +474,15 @@
     """1.5 s after the call every connection was ended, new ones over what was under way: 3 to 8 of 5,100."""
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 4)
-    side.open()
+    side.start_serving()
     with socket.create_connection(side.address) as caller:
-        turn_until(at.loop, lambda: side.connections)
+        run_until(at.loop, lambda: side.connections)
         side.evacuate(True, 1.0)
-        side._press(side.drains)
+        side._expire_drain(side.drain_count)
         caller.sendall(b"*1\r\n$4\r\nPING\r\n")
-        turn_until(at.loop, lambda: select.select([caller], [], [], 0)[0])
+        run_until(at.loop, lambda: select.select([caller], [], [], 0)[0])
         assert read_until(caller, b"\r\n") == b"-ERR evacuated\r\n"
-        turn_until(at.loop, lambda: not side.connections or select.select([caller], [], [], 0)[0])
+        run_until(at.loop, lambda: not side.connections or select.select([caller], [], [], 0)[0])
     at.close()
 
 
@@ -504,26 +504,26 @@
         caller.settimeout(20)
         caller.sendall(b"*1\r\n$4\r\n" + sent + b"\r\n" if sent else b"")
     for caller in (usual, done):
-        turn_until(at.loop, lambda: sum(connection.answered for connection in side.connections) == 2)
+        run_until(at.loop, lambda: sum(connection.answered for connection in side.connections) == 2)
         assert read_until(caller, b"\r\n") == b"+PONG\r\n"
     done.sendall(b"*1\r\n$4\r\nPI")  # half a command that moves on is let be
-    turn_until(at.loop, lambda: sum(bool(connection.buffer.data) for connection in side.connections) == 2)
-    clock[0] += SPEAK_WITHIN / 2
+    run_until(at.loop, lambda: sum(bool(connection.buffer.data) for connection in side.connections) == 2)
+    clock[0] += FIRST_COMMAND_TIMEOUT / 2
     sweep()
     assert len(side.connections) == 4
     fresh = socket.create_connection(side.address)  # at the cap the one idle longest makes way
-    turn_until(at.loop, lambda: any("end caller cap answered=0" in line for line in at.log))
-    clock[0] += SPEAK_WITHIN / 2 + 0.1
+    run_until(at.loop, lambda: any("end caller cap answered=0" in line for line in at.log))
+    clock[0] += FIRST_COMMAND_TIMEOUT / 2 + 0.1
     sweep()
     assert len(side.connections) == 3
     assert [line.split()[2] for line in at.log if line.startswith("end caller")] == ["cap", "silent"]
     answers = sorted(caller.recv(100) for caller in (silent, half))
     assert answers == [b"", b"-ERR no whole command in time\r\n"]
-    for _ in range(MAX_HALF + 1):
+    for _ in range(MAX_READ_STALLS + 1):
         sweep()
     assert "end caller slow_writer" in at.log[-1]
     usual.sendall(b"*1\r\n$4\r\nPING\r\n")
-    turn_until(at.loop, lambda: sum(connection.answered for connection in side.connections) == 2)
+    run_until(at.loop, lambda: sum(connection.answered for connection in side.connections) == 2)
     for caller in (*callers, fresh):
         caller.close()
     at.close()
@@ -533,11 +533,11 @@
     """Such circles waited for the collector by the megabyte, and read as memory that keeps growing."""
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 4)
-    side.open()
+    side.start_serving()
     with socket.create_connection(side.address) as caller:
         for serial in range(20):
             caller.sendall(command(f"{serial:04x}"))
-            turn_until(at.loop, lambda: len(at.opened) == 1)
+            run_until(at.loop, lambda: len(at.opened) == 1)
             at.exchange.fail(at.opened.pop().name)
             if serial == 9:
                 gc.collect()
@@ -552,19 +552,19 @@
 def test_a_command_held_back_behind_others_has_less_time_left() -> None:
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 10)
-    side.open()
+    side.start_serving()
     with socket.create_connection(side.address) as caller:
         caller.sendall(b"".join(command(f"{n:04x}") for n in range(MAX_PIPELINED + 1)))
-        turn_until(at.loop, lambda: len(at.opened) == MAX_PIPELINED)
+        run_until(at.loop, lambda: len(at.opened) == MAX_PIPELINED)
         caller.sendall(command("ffff"))
         since = at.loop.now()
         time.sleep(0.02)
-        rounds = at.loop.round
-        turn_until(at.loop, lambda: at.loop.round >= rounds + 3)  # the loop itself is not late any more
+        rounds = at.loop.iteration
+        run_until(at.loop, lambda: at.loop.iteration >= rounds + 3)  # the loop itself is not late any more
         for transaction in at.opened[:2]:
             at.exchange.fail(transaction.name)
-            turn_until(at.loop, lambda: len(at.opened) > MAX_PIPELINED)
-        turn_until(at.loop, lambda: len(at.opened) == MAX_PIPELINED + 2)
+            run_until(at.loop, lambda: len(at.opened) > MAX_PIPELINED)
+        run_until(at.loop, lambda: len(at.opened) == MAX_PIPELINED + 2)
         for transaction in at.opened[MAX_PIPELINED:]:
             assert transaction.deadline - transaction.request.patience <= since
     at.close()
@@ -576,24 +576,24 @@
     side = NextHops(at.loop, at.log.append, at.exchange, 60.0, 600.0, 60.0, 10)
     at.exchange.next_hops = side
     route = Route("s-1", hop.getsockname()[:2], "z1", "std", 0, Phase.SERVING, 1.0, None)
-    side.routes_told(RouteSet(1, True, (route,)))
+    side.update_routes(RouteSet(1, True, (route,)))
     request = Request("change", "plain", "7", 600.0, 1.0, 1, 0, ASK)
     names = [at.exchange.open(request, at.loop.now(), lambda final: None).name for _ in range(2)]
     first = at.exchange.send(names[0], "s-1", None)
     with hop.accept()[0] as sock:
         assert first is not None
-        turn_until(at.loop, lambda: first.carrier.whole)
+        run_until(at.loop, lambda: first.carrier.fully_written)
         sock.sendall(b"-BUSY\r\n")
-        turn_until(at.loop, lambda: at.ended)
+        run_until(at.loop, lambda: at.ended)
         idle = side.hops["s-1"].idle[0]
         idle.sock.shutdown(socket.SHUT_WR)  # the next write fails, though nothing shows before it
         second = at.exchange.send(names[1], "s-1", None)
         assert second is not None
         with hop.accept()[0] as other:
-            turn_until(at.loop, lambda: second.carrier.whole)
+            run_until(at.loop, lambda: second.carrier.fully_written)
             read_until(other, b"units=1\r\n")
             other.sendall(b"-BUSY\r\n")
-            turn_until(at.loop, lambda: second.ended)
+            run_until(at.loop, lambda: second.ended)
     assert second.ended is Outcome.FULL
     assert any("end nexthop s-1 stale served=1" in line for line in at.log)
     hop.close()
--- a/tests/test_counted.py
+++ b/tests/test_counted.py
@@ -26,7 +26,7 @@
 from standflow.counter.client import Counted, How
 from standflow.exchange import Outcome
 from standflow.net.loop import Loop
-from tests.wire import Program, config, member, program, turn_until
+from tests.wire import Program, config, member, program, run_until
 from tests.world import BASIC, LIMITED, READ, Counting, ended, of, sends
 
 AWAY = [i.Outcome.TIMEOUT, i.Outcome.FULL, i.Outcome.CONNECT_FAILED, i.Outcome.RESET]
@@ -274,7 +274,7 @@
         asking.lines[7] = deque([first])  # a call on a connection that is slow
         for _ in range(2):
             asking.count(7, 1.0, 60.0)
-        turn_until(loop, lambda: all(asking.lines[7][n] for n in (1, 2)))
+        run_until(loop, lambda: all(asking.lines[7][n] for n in (1, 2)))
         assert told == []
         asking._counted(7, first, Counted(How.UNCERTAIN, None, 1.0))
         assert told == [(Outcome.TIMEOUT, 0.0), (Outcome.OK, 1.0), (Outcome.OK, 2.0)]
@@ -290,7 +290,7 @@
             loop, print, server.getsockname(), 0.05, lambda *end: told.append(end[1]), lambda name: None
         )
         asking.count(7, -1.0, 60.0)
-        turn_until(loop, lambda: told == [Outcome.TIMEOUT])
+        run_until(loop, lambda: told == [Outcome.TIMEOUT])
         counter = server.accept()[0]
         asked = counter.recv(65536)
         counter.sendall(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
@@ -302,9 +302,9 @@
                 again.extend(counter.recv(65536))
             return bytes(again) == asked
 
-        turn_until(loop, heard)
+        run_until(loop, heard)
         counter.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n5")
-        turn_until(loop, lambda: not asking.client.connections[0].calls)
+        run_until(loop, lambda: not asking.client.connections[0].calls)
         assert told == [Outcome.TIMEOUT]
         counter.close()
         asking.close()
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -15,7 +15,7 @@
 from lab.counter import Door, Store, Way
 from standflow.counter.client import MAX_BODY, MOST_QUIET, PIPELINE, Client, Counted, How, encode, read_total
 from standflow.net.loop import Loop
-from tests.wire import LIMIT, listener, read_until, turn_until
+from tests.wire import LIMIT, listener, read_until, run_until
 
 
 class Rig:
@@ -34,7 +34,7 @@
         return ends
 
     def until(self, *calls: list[Counted], count: int = 1) -> list[Counted]:
-        turn_until(self.loop, lambda: all(len(call) >= count for call in calls))
+        run_until(self.loop, lambda: all(len(call) >= count for call in calls))
         return [call[count - 1] for call in calls]
 
     def reasons(self) -> list[str]:
@@ -116,7 +116,7 @@
 def test_an_answer_that_never_comes_stays_uncertain_and_those_behind_it_too() -> None:
     with Door(Store(parts=1), Way(cut={0})) as door, rig(door.address, 0.02) as at:
         assert [end.how for end in at.until(at.add("a"), at.add("b"))] == [How.UNCERTAIN] * 2
-        turn_until(at.loop, lambda: at.reasons() == ["silent"])
+        run_until(at.loop, lambda: at.reasons() == ["silent"])
         door.way.cut.clear()
         assert at.until(at.add("a"))[0].total == 1.0  # on another connection
 
@@ -133,10 +133,10 @@
                 calls.append(at.add("a"))
             return len(at.client.connections) > 1 and bool(at.client.connections[1].calls)
 
-        turn_until(at.loop, written)
+        run_until(at.loop, written)
         with silent, accepted(hop) as other:
             other.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n7")
-            turn_until(at.loop, lambda: any(end.total == 7.0 for call in calls for end in call))
+            run_until(at.loop, lambda: any(end.total == 7.0 for call in calls for end in call))
 
 
 def test_a_counter_that_answers_nobody_is_sent_few_connections() -> None:
@@ -166,14 +166,14 @@
     with listener() as hop, rig(hop.getsockname()) as at:
         call = at.add("a", 2.0)
         with accepted(hop) as sock:
-            turn_until(at.loop, lambda: at.client.connections[0].calls)
+            run_until(at.loop, lambda: at.client.connections[0].calls)
             said = read_until(sock, b"\r\n\r\n")
             assert said.startswith(b"POST /v1/count/a?add=2&ttl_ms=60000 HTTP/1.1\r\n")
             sock.sendall(answer)
         end = at.until(call)[0]
         assert end.how is how
         assert (end.total is not None) == (b"\r\n\r\n7" in answer)
-        turn_until(at.loop, lambda: at.reasons() == [reason])
+        run_until(at.loop, lambda: at.reasons() == [reason])
 
 
 def test_what_was_not_written_whole_has_added_nothing() -> None:
@@ -230,7 +230,7 @@
         with listener() as hop, rig(hop.getsockname()) as at:
             calls = [at.add("a"), at.add("b")]
             with accepted(hop) as sock:
-                turn_until(at.loop, lambda at=at: len(at.client.connections[0].calls) == 2)  # type: ignore[misc]
+                run_until(at.loop, lambda at=at: len(at.client.connections[0].calls) == 2)  # type: ignore[misc]
                 read_until(
                     sock,
                     b"b?add=1&ttl_ms=60000 HTTP/1.1\r\nHost: %s:%d\r\nContent-Length: 0\r\n\r\n"
@@ -247,7 +247,7 @@
     with listener() as old, Door(Store()) as door, rig(old.getsockname()) as at:
         call = at.add("a")
         with accepted(old) as sock:
-            turn_until(at.loop, lambda: at.client.connections[0].calls)
+            run_until(at.loop, lambda: at.client.connections[0].calls)
             read_until(sock, b"\r\n\r\n")
             at.client.move(door.address)
             assert call[0].how is How.UNCERTAIN
@@ -258,7 +258,7 @@
 def test_an_idle_connection_that_the_counter_closes_costs_no_call() -> None:
     with Door(Store(), idle=0.02) as door, rig(door.address) as at:
         assert at.until(at.add("a"))[0].total == 1.0
-        turn_until(at.loop, lambda: at.reasons() == ["peer_closed"])
+        run_until(at.loop, lambda: at.reasons() == ["peer_closed"])
         assert at.until(at.add("a"))[0].total == 2.0
 
 
--- a/tests/test_descriptor_limits.py
+++ b/tests/test_descriptor_limits.py
@@ -15,7 +15,7 @@
 from standflow.net.client_side import ClientSide
 from tests.test_connections import Recorder
 from tests.test_endings import known
-from tests.wire import LIMIT, Program, command, config, listener, program, read_until, turn_until
+from tests.wire import LIMIT, Program, command, config, listener, program, read_until, run_until
 
 ROOM = 20  # descriptors left for the test's idle clients
 VALUE = b"*3\r\n$2\r\nva\r\n$-1\r\n$-1\r\n"
@@ -76,16 +76,16 @@
     """Each of many clients has just asked: one frame in another, they would go beyond the stack."""
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 100)
-    side.open()
+    side.start_serving()
     clients = [socket.create_connection(side.address) for _ in range(50)]
     for client in clients:
         client.sendall(PING)
-    turn_until(at.loop, lambda: all(select.select([client], [], [], 0)[0] for client in clients))
+    run_until(at.loop, lambda: all(select.select([client], [], [], 0)[0] for client in clients))
     made: list[bool] = []
-    monkeypatch.setattr(at, "transaction_opened", lambda transaction: made.append(at.loop.make_room()))
+    monkeypatch.setattr(at, "transaction_opened", lambda transaction: made.append(at.loop.free_descriptor()))
     for number, client in enumerate(clients):
         client.sendall(command(f"{number:04x}"))
-    assert not at.loop.make_room()  # all have a request open now
+    assert not at.loop.free_descriptor()  # all have a request open now
     assert made == [False] * len(clients)
     for client in clients:
         client.close()
--- a/tests/test_discovery_deadlines.py
+++ b/tests/test_discovery_deadlines.py
@@ -16,16 +16,16 @@
 from standflow.net import watch_timing
 from standflow.net.watch_timing import (
     CHANGE_DEADLINE,
-    CONNECT_LIMIT,
+    CONNECT_TIMEOUT,
     FIRST_BACK_OFF,
-    LAST_BACK_OFF,
-    LONGEST_HEAD_LIMIT,
-    SILENCE,
+    MAX_BACK_OFF,
+    MAX_HEAD_TIMEOUT,
+    SILENCE_TIMEOUT,
     CallEnd,
     WatchTiming,
 )
 from tests.test_endings import agent, change, known
-from tests.wire import LIMIT, command, config, listener, member, program, read_until, turn_until
+from tests.wire import LIMIT, command, config, listener, member, program, read_until, run_until
 
 ANSWER_TIME = 0.3  # seconds that a discovery that can be reached takes for an answer at the most
 EARLIER_CALLS = 4  # of any kind that ended badly before,
@@ -44,8 +44,8 @@
 class Watch:
     """Calls on a clock of its own; a method is one call, up to the beginning of the next."""
 
-    def __init__(self, last_back_off: float = LAST_BACK_OFF) -> None:
-        self.now, self.timing, self.chance = 0.0, WatchTiming(last_back_off), Longest()
+    def __init__(self, max_back_off: float = MAX_BACK_OFF) -> None:
+        self.now, self.timing, self.chance = 0.0, WatchTiming(max_back_off), Longest()
         self.timing.begin(self.now)
 
     def ended(self, end: CallEnd) -> None:
@@ -59,29 +59,29 @@
 
     def silent_connection(self) -> None:
         """The connection never comes up."""
-        self.now += CONNECT_LIMIT
+        self.now += CONNECT_TIMEOUT
         self.ended(CallEnd.FAILED)
 
     def no_head(self) -> None:
         """The connection comes up late, and nothing is answered."""
-        self.now = self.timing.head_due(self.now + 0.9 * CONNECT_LIMIT)
-        self.timing.silent()
+        self.now = self.timing.head_due(self.now + 0.9 * CONNECT_TIMEOUT)
+        self.timing.timed_out()
         self.ended(CallEnd.FAILED)
 
     def late_head_then_silent(self) -> None:
         """The head comes in the last moment, and then nothing."""
-        self.now = self.timing.head_due(self.now + 0.9 * CONNECT_LIMIT) + SILENCE
-        self.timing.silent()
+        self.now = self.timing.head_due(self.now + 0.9 * CONNECT_TIMEOUT) + SILENCE_TIMEOUT
+        self.timing.timed_out()
         self.ended(CallEnd.FAILED)
 
     def late_refusal(self) -> None:
         """Status 503 in the last moment."""
         self.now = self.timing.head_due(self.now)
-        self.ended(CallEnd.TURNED_AWAY)
+        self.ended(CallEnd.UNAVAILABLE)
 
     def refusal(self) -> None:
         """Status 503 at once."""
-        self.ended(CallEnd.TURNED_AWAY)
+        self.ended(CallEnd.UNAVAILABLE)
 
     def ended_without_a_word(self) -> None:
         """The head, and then the end."""
@@ -90,14 +90,14 @@
 
     def healthy_then_silent(self) -> None:
         """A sign of life, and from then on nothing: the change came right after it."""
-        self.timing.alive()
-        self.now += SILENCE
-        self.timing.silent()
+        self.timing.reset()
+        self.now += SILENCE_TIMEOUT
+        self.timing.timed_out()
         self.ended(CallEnd.FAILED)
 
     def cut(self) -> None:
         """A sign of life, and a reset."""
-        self.timing.alive()
+        self.timing.reset()
         self.ended(CallEnd.FAILED)
 
 
@@ -144,7 +144,7 @@
 
 
 def test_where_lists_are_pushed_no_pause_of_a_watch_that_ended_outlasts_half_of_the_grace() -> None:
-    watch = Watch(last_back_off=0.25)
+    watch = Watch(max_back_off=0.25)
     for _ in range(10):
         before = watch.now
         watch.ended_without_a_word()
@@ -164,14 +164,14 @@
     with agent() as one:
         timing = one.routes.timing
         timing.back_off = 2.0
-        timing.began = one.at.loop.now() - LONGEST_HEAD_LIMIT
+        timing.began = one.at.loop.now() - MAX_HEAD_TIMEOUT
         one.watch.setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
         )  # a close is a reset
         one.watch.close()
-        turn_until(one.at.loop, lambda: one.routes.pending)
-        assert one.routes.pending is not None
-        assert one.routes.pending.when - one.at.loop.now() <= FIRST_BACK_OFF
+        run_until(one.at.loop, lambda: one.routes.reconnect_timer)
+        assert one.routes.reconnect_timer is not None
+        assert one.routes.reconnect_timer.when - one.at.loop.now() <= FIRST_BACK_OFF
         one.watch = one.accept()
 
 
@@ -179,17 +179,17 @@
     """A late connection and a late head would add up."""
     timing = WatchTiming()
     timing.begin(10.0)
-    timing.patience = LONGEST_HEAD_LIMIT
-    assert timing.head_due(10.0 + CONNECT_LIMIT) == 10.0 + LONGEST_HEAD_LIMIT
-    monkeypatch.setattr(watch_timing, "LONGEST_HEAD_LIMIT", 0.05)
+    timing.head_timeout = MAX_HEAD_TIMEOUT
+    assert timing.head_due(10.0 + CONNECT_TIMEOUT) == 10.0 + MAX_HEAD_TIMEOUT
+    monkeypatch.setattr(watch_timing, "MAX_HEAD_TIMEOUT", 0.05)
     with agent() as one:
-        one.routes.timing.patience = LIMIT
+        one.routes.timing.head_timeout = LIMIT
         one.say(json.dumps(change(8)).encode() + b"\n")
-        turn_until(one.at.loop, lambda: len(one.told) == 1)
+        run_until(one.at.loop, lambda: len(one.told) == 1)
         one.watch.close()
-        turn_until(one.at.loop, lambda: select.select([one.sock], [], [], 0)[0])
+        run_until(one.at.loop, lambda: select.select([one.sock], [], [], 0)[0])
         one.watch = one.sock.accept()[0]  # and no head is sent
-        turn_until(one.at.loop, lambda: any("end routes silent" in line for line in one.at.log))
+        run_until(one.at.loop, lambda: any("end routes silent" in line for line in one.at.log))
 
 
 def test_a_watch_ends_instead_of_telling_and_the_whole_list_leaves_out_what_drains(tmp_path: Path) -> None:
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -19,12 +19,12 @@
 from standflow.log import MAX_LINES, Log
 from standflow.net.loop import IN, Coroutine
 from standflow.net.peers import Peers
-from standflow.net.routes import RouteError, Routes, read_routes, zone_of
-from standflow.net.watch_timing import LONGEST_HEAD_LIMIT
+from standflow.net.routes import RouteError, RouteWatch, read_routes, zone_of
+from standflow.net.watch_timing import MAX_HEAD_TIMEOUT
 from standflow.start_times import StartTimes
 from standflow.tally import MOST_HOPS, Tally
 from tests.test_connections import Recorder
-from tests.wire import config, listener, read_until, turn_until
+from tests.wire import config, listener, read_until, run_until
 from tests.world import sealed
 
 
@@ -103,7 +103,7 @@
     assert played.events[2] == i.CountAnswered(5, i.Outcome.CONNECT_FAILED, 0.0, 0.0)
     assert played.probes == ["s-1"]
     assert played.told == [(None, b"x"), "fetch"]
-    turn_until(played.at.loop, lambda: i.TimerFired(9) in played.events)
+    run_until(played.at.loop, lambda: i.TimerFired(9) in played.events)
     assert "module: text" in played.at.log
     assert any("count 5 has no client" in line for line in played.at.log)
     played.at.close()
@@ -116,7 +116,7 @@
 
     def wait() -> Coroutine[None]:
         yield IN
-        heard.append(at.loop.heard)
+        heard.append(at.loop.earliest_arrival)
 
     def work() -> None:
         came.append(at.loop.now())
@@ -126,7 +126,7 @@
     came: list[float] = []
     at.loop.spawn(reader.fileno(), wait())
     at.loop.call_later(0, work)
-    turn_until(at.loop, lambda: heard)
+    run_until(at.loop, lambda: heard)
     assert heard[0] <= came[0]
     reader.close()
     writer.close()
@@ -150,12 +150,12 @@
         stranger.sendto(b"no", peers.address)
         peer.sendto(b"x" * 257, peers.address)
         peer.sendto(b"x" * 256, peers.address)
-        turn_until(at.loop, lambda: got)
+        run_until(at.loop, lambda: got)
         assert got == [(1, b"x" * 256)]
         assert sum(line.startswith("peers: dropped") for line in at.log) == 2
-        peers.tell(1, b"y" * 257)
-        peers.tell(9, b"lost")
-        peers.tell(None, b"all")
+        peers.send_message(1, b"y" * 257)
+        peers.send_message(9, b"lost")
+        peers.send_message(None, b"all")
         assert peer.recv(300) == b"all"
         assert count == ["peers.dropped", "peers.dropped", "peers.in", "peers.out"]
     at.close()
@@ -186,22 +186,25 @@
         return max(when for when, _, timer in at.loop.timers if timer.call is not None) - at.loop.now()
 
     with listener() as agent:
-        routes = Routes(
+        routes = RouteWatch(
             at.loop, at.log.append, agent.getsockname(), (), 7, lambda r: told.append(r.revision), Random(1)
         )
         routes.connect()
         sock = agent.accept()[0]
-        turn_until(at.loop, lambda: select.select([sock], [], [], 0)[0])
+        run_until(at.loop, lambda: select.select([sock], [], [], 0)[0])
         read_until(sock, b"\r\n\r\n")
         assert waits() <= 1.5  # an agent that is there answers at once
         line = b'{"revision": 8, "complete": true, "members": []}\n'
         sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(line), line))
-        routes.timing.patience = routes.timing.turned_away = 4.0
-        turn_until(at.loop, lambda: told[-1] == 8)
-        assert (routes.timing.patience, routes.timing.turned_away) == (1.0, 0.0)  # it is there again
+        routes.timing.head_timeout = routes.timing.unavailable_back_off = 4.0
+        run_until(at.loop, lambda: told[-1] == 8)
+        assert (routes.timing.head_timeout, routes.timing.unavailable_back_off) == (
+            1.0,
+            0.0,
+        )  # it is there again
         assert 2.0 < waits() <= 3.0  # a sign of life is due every 2 s
-        turn_until(at.loop, lambda: any("end routes silent" in line for line in at.log))
-        assert routes.timing.patience == 2.0  # the next is waited for longer, it may stand in a line
+        run_until(at.loop, lambda: any("end routes silent" in line for line in at.log))
+        assert routes.timing.head_timeout == 2.0  # the next is waited for longer, it may stand in a line
         sock.close()
     routes.close()
     at.close()
@@ -211,19 +214,19 @@
     """Twenty-four ingresses asked 600 times in 26 s: calls in line were given up and repeated."""
     at = Recorder()
     with listener() as agent:
-        routes = Routes(at.loop, at.log.append, agent.getsockname(), (), 7, lambda r: None, Random(1))
+        routes = RouteWatch(at.loop, at.log.append, agent.getsockname(), (), 7, lambda r: None, Random(1))
         waits: list[float] = []
 
         def turned_away() -> None:
             routes.connect()
             sock = agent.accept()[0]
-            turn_until(at.loop, lambda: bool(select.select([sock], [], [], 0)[0]))
+            run_until(at.loop, lambda: bool(select.select([sock], [], [], 0)[0]))
             sock.sendall(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
             lines = len(at.log)
-            turn_until(at.loop, lambda: len(at.log) > lines)
-            assert routes.pending is not None
-            waits.append(routes.pending.when - at.loop.now())
-            routes.pending.cancel()
+            run_until(at.loop, lambda: len(at.log) > lines)
+            assert routes.reconnect_timer is not None
+            waits.append(routes.reconnect_timer.when - at.loop.now())
+            routes.reconnect_timer.cancel()
             sock.close()
 
         for _ in range(6):
@@ -231,9 +234,9 @@
         assert 0.4 < waits[0] <= 1.0
         # up to 8 s until a change counted as told 6 s after discovery had it, also after a refused call
         assert all(2.5 < wait <= 4.0 for wait in waits[3:])
-        routes.timing.patience = LONGEST_HEAD_LIMIT
+        routes.timing.head_timeout = MAX_HEAD_TIMEOUT
         routes.move(agent.getsockname())  # another one starts afresh
-        assert (routes.timing.patience, routes.timing.turned_away) == (1.0, 0.0)
+        assert (routes.timing.head_timeout, routes.timing.unavailable_back_off) == (1.0, 0.0)
     routes.close()
     at.close()
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -21,10 +21,10 @@
 from standflow.net.client_connection import MAX_PIPELINED
 from standflow.net.client_side import ClientSide
 from standflow.net.loop import IN, Coroutine, Loop
-from standflow.net.nexthop import REST, NextHops
-from standflow.net.routes import Objects, Routes
+from standflow.net.nexthop import COOL_DOWN, NextHops
+from standflow.net.routes import ObjectSplitter, RouteWatch
 from standflow.net.stream import PlainStream, Stream
-from standflow.net.watch_timing import HEAD_LIMIT, LAST_BACK_OFF
+from standflow.net.watch_timing import HEAD_TIMEOUT, MAX_BACK_OFF
 from standflow.platform_terms import HOLD_UP_SECONDS
 from tests.test_connections import Recorder
 from tests.wire import (
@@ -35,7 +35,7 @@
     member,
     program,
     read_until,
-    turn_until,
+    run_until,
     with_deadline,
 )
 
@@ -53,28 +53,30 @@
         self,
         address: tuple[str, int],
         grace: float = 60.0,
-        rest: float = REST,
+        cool_down: float = COOL_DOWN,
         make: Callable[[Route, socket.socket], Stream] = lambda route, sock: PlainStream(sock),
     ) -> None:
         self.at = Recorder()
         self.clients = ClientSide(self.at.loop, self.at.log.append, self.at.exchange, ("127.0.0.1", 0), 10)
-        self.clients.open()
+        self.clients.start_serving()
         times = (60.0, 600.0, grace)
-        self.hops = NextHops(self.at.loop, self.at.log.append, self.at.exchange, *times, 10, make, rest=rest)
+        self.hops = NextHops(
+            self.at.loop, self.at.log.append, self.at.exchange, *times, 10, make, cool_down=cool_down
+        )
         self.at.exchange.next_hops = self.hops
         self.address = address
         self.tell(Phase.SERVING)
 
     def tell(self, phase: Phase) -> None:
         route = Route("s-1", self.address, "z1", "std", 0, phase, 1.0, None)
-        self.hops.routes_told(RouteSet(1, True, (route,)))
+        self.hops.update_routes(RouteSet(1, True, (route,)))
 
     def ask(self, ident: str) -> socket.socket:
         """A caller of its own whose request has been taken."""
         caller, before = socket.create_connection(self.clients.address), len(self.at.opened)
         caller.settimeout(LIMIT)
         caller.sendall(command(ident, d=60_000))
-        turn_until(self.at.loop, lambda: len(self.at.opened) > before)
+        run_until(self.at.loop, lambda: len(self.at.opened) > before)
         return caller
 
     def send(self, timeout: float | None = None) -> None:
@@ -85,13 +87,13 @@
         """The next hop's end of a connection, when a command has come on it."""
         sock = hop.accept()[0]
         sock.settimeout(LIMIT)
-        turn_until(self.at.loop, lambda: select.select([sock], [], [], 0)[0])
+        run_until(self.at.loop, lambda: select.select([sock], [], [], 0)[0])
         read_until(sock, b"first=0\r\n")
         return sock
 
     def answered(self, caller: socket.socket) -> bytes:
         """What a caller gets."""
-        turn_until(self.at.loop, lambda: select.select([caller], [], [], 0)[0])
+        run_until(self.at.loop, lambda: select.select([caller], [], [], 0)[0])
         return caller.recv(65536)
 
 
@@ -137,12 +139,12 @@
         leaves = wired.ask("aa01")
         wired.send()
         leaves.close()
-        turn_until(loop, lambda: "end nexthop s-1 given_up served=0" in "".join(wired.at.log))
+        run_until(loop, lambda: "end nexthop s-1 given_up served=0" in "".join(wired.at.log))
         assert wired.at.exchange.transactions == {}
         hop.release()
         stays = wired.ask("aa02")
         wired.send()
-        turn_until(loop, lambda: wired.hops.forwards == 1)
+        run_until(loop, lambda: wired.hops.forwards == 1)
         assert b"aa02" in hop.command()
         stays.close()
         wired.at.close()
@@ -165,12 +167,12 @@
         wired.send()
         at_hop = hop.accept()[0]
         at_hop.settimeout(LIMIT)
-        turn_until(wired.at.loop, lambda: wired.hops.open_connections() == {} and wired.hops.connections == 1)
+        run_until(wired.at.loop, lambda: wired.hops.open_connections() == {} and wired.hops.connections == 1)
         leaves.close()
-        turn_until(wired.at.loop, lambda: wired.at.gone)
+        run_until(wired.at.loop, lambda: wired.at.gone)
         with contextlib.suppress(OSError):  # the handshake would end now
             at_hop.sendall(b"!")
-        turn_until(wired.at.loop, lambda: any("end nexthop s-1" in line for line in wired.at.log))
+        run_until(wired.at.loop, lambda: any("end nexthop s-1" in line for line in wired.at.log))
         assert wired.hops.forwards == 0
         with contextlib.suppress(ConnectionError):  # closed over the byte it is a reset
             assert at_hop.recv(65536) == b""
@@ -203,11 +205,11 @@
     stays, leaves = (socket.create_connection(side.address) for _ in range(2))
     stays.sendall(command("aa01"))
     leaves.sendall(command("aa02"))
-    turn_until(at.loop, lambda: len(side.connections) == 2)
+    run_until(at.loop, lambda: len(side.connections) == 2)
     leaves.close()
-    turn_until(at.loop, lambda: len(side.connections) == 1)
-    side.open()
-    turn_until(at.loop, lambda: at.opened)
+    run_until(at.loop, lambda: len(side.connections) == 1)
+    side.start_serving()
+    run_until(at.loop, lambda: at.opened)
     assert [transaction.request.ident for transaction in at.opened] == [b"aa01"]
     stays.close()
     at.close()
@@ -216,10 +218,10 @@
 def test_a_caller_that_has_sent_and_closed_before_it_was_accepted_is_not_served() -> None:
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 10)
-    side.open()
+    side.start_serving()
     with socket.create_connection(side.address) as leaves:
         leaves.sendall(command("aa01"))
-    turn_until(at.loop, lambda: any(line.startswith("end caller peer_closed") for line in at.log))
+    run_until(at.loop, lambda: any(line.startswith("end caller peer_closed") for line in at.log))
     assert at.opened == []
     at.close()
 
@@ -253,16 +255,16 @@
     """Its command is under way: closed with no answer it would be a request turned away unheard."""
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 3)
-    side.open()
+    side.start_serving()
     callers = [socket.create_connection(side.address) for _ in range(6)]
-    at.loop.turn()
-    at.loop.turn()
+    at.loop.run_once()
+    at.loop.run_once()
     assert len(side.connections) == 3
     for caller in callers[:3]:
         caller.sendall(b"*1\r\n$4\r\nPING\r\n")
-    turn_until(at.loop, lambda: all(select.select([caller], [], [], 0)[0] for caller in callers[:3]))
+    run_until(at.loop, lambda: all(select.select([caller], [], [], 0)[0] for caller in callers[:3]))
     assert [caller.recv(10) for caller in callers[:3]] == [b"+PONG\r\n"] * 3
-    turn_until(at.loop, lambda: sum("end caller cap answered=1" in line for line in at.log) == 3)
+    run_until(at.loop, lambda: sum("end caller cap answered=1" in line for line in at.log) == 3)
     assert len(side.connections) == 3
     for caller in callers:
         caller.close()
@@ -272,11 +274,11 @@
 def test_a_command_that_has_come_as_a_drain_presses_is_taken_first() -> None:
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 3)
-    side.open()
+    side.start_serving()
     caller = socket.create_connection(side.address)
-    turn_until(at.loop, lambda: side.connections)
-    side.draining = side.pressing = True
-    next(iter(side.connections)).made -= 1.0
+    run_until(at.loop, lambda: side.connections)
+    side.draining = side.drain_expired = True
+    next(iter(side.connections)).created_at -= 1.0
     caller.sendall(command("aa01"))
     side._sweep()
     assert [transaction.request.ident for transaction in at.opened] == [b"aa01"]
@@ -292,7 +294,7 @@
 
 def test_a_second_answer_some_milliseconds_late_is_not_the_next_command_s() -> None:
     with listener() as hop:
-        wired = Wired(hop.getsockname(), rest=60.0)
+        wired = Wired(hop.getsockname(), cool_down=60.0)
         first = wired.ask("aa01")
         wired.send()
         at_first = wired.accept(hop)
@@ -302,10 +304,10 @@
         wired.send()
         at_second = wired.accept(hop)
         at_first.sendall(VALUE.replace(b"va", b"no"))
-        turn_until(wired.at.loop, lambda: any("unasked_bytes served=1" in line for line in wired.at.log))
+        run_until(wired.at.loop, lambda: any("unasked_bytes served=1" in line for line in wired.at.log))
         at_second.sendall(VALUE.replace(b"va", b"vb"))
         assert wired.answered(second) == b"$2\r\nvb\r\n"
-        assert REST > 0.01
+        assert COOL_DOWN > 0.01
         for sock in (first, second, at_first, at_second):
             sock.close()
         wired.at.close()
@@ -319,7 +321,7 @@
         wired.send()
         wired.tell(Phase.DRAINING)
         time.sleep(0.1)
-        turn_until(wired.at.loop, lambda: wired.at.ended)
+        run_until(wired.at.loop, lambda: wired.at.ended)
         assert [outcome for _, outcome in wired.at.ended] == [Outcome.CONNECT_FAILED]
         assert wired.hops.forwards == 0
         assert hop.accept()[0].recv(10) == b""
@@ -336,9 +338,9 @@
         caller = wired.ask("aa01")
         told = loop.now()
         wired.tell(Phase.DRAINING)
-        turn_until(loop, lambda: loop.now() > told + grace - HOLD_UP_SECONDS)
+        run_until(loop, lambda: loop.now() > told + grace - HOLD_UP_SECONDS)
         wired.send()
-        turn_until(loop, lambda: wired.at.ended)
+        run_until(loop, lambda: wired.at.ended)
         assert [outcome for _, outcome in wired.at.ended] == [Outcome.CONNECT_FAILED]
         assert wired.hops.forwards == 0
         caller.close()
@@ -350,9 +352,11 @@
     grace, late = 0.5, 0.1
     with listener() as hop:
         wired = Wired(hop.getsockname(), grace=grace)
-        wired.at.loop.heard = wired.at.loop.now() - late
+        wired.at.loop.earliest_arrival = wired.at.loop.now() - late
         wired.tell(Phase.DRAINING)
-        assert wired.hops.hops["s-1"].shut_at == wired.at.loop.heard + grace - HOLD_UP_SECONDS
+        assert (
+            wired.hops.hops["s-1"].writes_end_at == wired.at.loop.earliest_arrival + grace - HOLD_UP_SECONDS
+        )
         wired.at.close()
 
 
@@ -362,7 +366,7 @@
         caller = wired.ask("aa01")
         wired.send(0.02)
         time.sleep(0.05)
-        turn_until(wired.at.loop, lambda: wired.at.ended)
+        run_until(wired.at.loop, lambda: wired.at.ended)
         assert [outcome for _, outcome in wired.at.ended] == [Outcome.CONNECT_FAILED]
         assert wired.hops.forwards == 0
         caller.close()
@@ -387,7 +391,7 @@
         self.at, self.told = Recorder(), list[RouteSet]()
         self.sock = listener()
         chance = random.Random(1)
-        self.routes = Routes(
+        self.routes = RouteWatch(
             self.at.loop, self.at.log.append, self.sock.getsockname(), (), 7, self.told.append, chance
         )
         self.routes.connect()
@@ -406,8 +410,8 @@
                 return False
             return True
 
-        turn_until(self.at.loop, came)
-        turn_until(self.at.loop, lambda: select.select([watches[0]], [], [], 0)[0])
+        run_until(self.at.loop, came)
+        run_until(self.at.loop, lambda: select.select([watches[0]], [], [], 0)[0])
         watches[0].settimeout(LIMIT)
         self.asked = read_until(watches[0], b"\r\n\r\n")
         watches[0].sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -436,14 +440,14 @@
     ]
     whole = "\r\n\n".join(texts).encode() + b"\n\n"
     for step in (1, 2, 3, 7, len(whole)):
-        objects, found = Objects(), list[bytes]()
+        objects, found = ObjectSplitter(), list[bytes]()
         for at in range(0, len(whole), step):
             found += objects.feed(whole[at : at + step])
         assert [json.loads(text) for text in found if text] == [json.loads(text) for text in texts], step
     with agent() as one:
         for text in texts:
             one.say(text.encode() + b"\n")
-        turn_until(one.at.loop, lambda: len(one.told) == 3)
+        run_until(one.at.loop, lambda: len(one.told) == 3)
         assert [routes.revision for routes in one.told] == [8, 9, 10]
         assert one.told[1].routes[0].hop == awkward["id"]
 
@@ -451,7 +455,7 @@
 def test_what_is_written_whole_is_told_though_its_line_has_not_ended() -> None:
     with agent() as one:
         one.say(json.dumps(change(8, entry("s-1", "DRAINING"))).encode())
-        turn_until(one.at.loop, lambda: len(one.told) == 1)
+        run_until(one.at.loop, lambda: len(one.told) == 1)
 
 
 def test_a_watch_that_drips_and_never_ends_an_object_is_broken() -> None:
@@ -467,7 +471,7 @@
             one.say(b" \n")
             return False
 
-        turn_until(one.at.loop, broken)
+        run_until(one.at.loop, broken)
         assert drips > 100
         one.watch.close()
         one.watch = one.accept()
@@ -478,44 +482,42 @@
     """An empty line is enough: pause, slow head and silence together would outlast what counts as told."""
     with agent() as one:
         timing = one.routes.timing
-        timing.back_off = timing.patience = timing.turned_away = 4.0
+        timing.back_off = timing.head_timeout = timing.unavailable_back_off = 4.0
         one.say(b"\n")
-        turn_until(one.at.loop, lambda: timing.patience == HEAD_LIMIT)
+        run_until(one.at.loop, lambda: timing.head_timeout == HEAD_TIMEOUT)
         assert timing.back_off < 0.1
-        assert not timing.turned_away
+        assert not timing.unavailable_back_off
 
 
 def test_a_change_that_cannot_be_read_is_asked_for_again_and_the_good_ones_hold() -> None:
     with agent() as one:
         gone: dict[str, object] = {"id": "s-3", "phase": "DELETED"}  # nothing more is needed of it
         one.say(json.dumps(change(8, entry("s-1", "DRAINING"), entry("s-2", "ODD"), gone)).encode() + b"\n")
-        turn_until(one.at.loop, lambda: len(one.told) == 1)
+        run_until(one.at.loop, lambda: len(one.told) == 1)
         assert [route.hop for route in one.told[0].routes] == ["s-1", "s-3"]
         one.watch.close()
         one.watch = one.accept()
         assert b"since" not in one.asked
         one.say(json.dumps(change(8, entry("s-1", "DRAINING"), entry("s-2", "ODD"), complete=True)).encode())
-        turn_until(
-            one.at.loop, lambda: len(one.told) == 2
-        )  # of a whole list the unread is gone, once for all
+        run_until(one.at.loop, lambda: len(one.told) == 2)  # of a whole list the unread is gone, once for all
         one.say(json.dumps(change(9, entry("s-1", "SERVING"))).encode())
-        turn_until(one.at.loop, lambda: len(one.told) == 3)
+        run_until(one.at.loop, lambda: len(one.told) == 3)
 
 
 def test_a_revision_that_goes_back_is_not_taken_in_and_the_whole_list_is_asked_for() -> None:
     with agent() as one:
         one.say(json.dumps(change(9, entry("s-1", "DRAINING"))).encode() + b"\n")
         one.say(json.dumps(change(8, entry("s-1", "SERVING"))).encode() + b"\n")
-        turn_until(one.at.loop, lambda: any("goes back" in line for line in one.at.log))
+        run_until(one.at.loop, lambda: any("goes back" in line for line in one.at.log))
         assert [routes.revision for routes in one.told] == [9]
         one.watch.close()
         one.watch = one.accept()
         assert b"since" not in one.asked
         one.say(json.dumps(change(3, entry("s-1", "SERVING"), complete=True)).encode() + b"\n")
-        turn_until(one.at.loop, lambda: len(one.told) == 2)
+        run_until(one.at.loop, lambda: len(one.told) == 2)
 
 
-@pytest.mark.parametrize(("pushed", "longest"), [(True, 0.25), (False, LAST_BACK_OFF)])
+@pytest.mark.parametrize(("pushed", "longest"), [(True, 0.25), (False, MAX_BACK_OFF)])
 def test_no_pause_outlasts_half_of_the_grace_where_lists_are_pushed(pushed: bool, longest: float) -> None:
     """What the agent has counts as told, whether a watch is open or not."""
     raw = config()
@@ -526,9 +528,9 @@
     ingress = Ingress(read(raw, log.append), loop, log.append)  # nobody listens where its agent should be
     assert ingress.routes is not None
     ingress.routes.connect()
-    turn_until(loop, lambda: sum("end routes connect_failed" in line for line in log) >= 8)
+    run_until(loop, lambda: sum("end routes connect_failed" in line for line in log) >= 8)
     assert ingress.routes.timing.back_off == longest
-    assert ingress.routes.pending is not None
-    assert ingress.routes.pending.when - loop.now() <= longest
+    assert ingress.routes.reconnect_timer is not None
+    assert ingress.routes.reconnect_timer.when - loop.now() <= longest
     ingress.close()
     loop.epoll.close()
--- a/tests/test_faulty_calls.py
+++ b/tests/test_faulty_calls.py
@@ -21,16 +21,16 @@
 from standflow.counter.client import Client, Counted, How
 from standflow.exchange import Outcome, RouteSet
 from standflow.net import loop as loop_module
-from standflow.net import momentary
+from standflow.net import transient_errors
 from standflow.net.client_side import ClientSide
 from standflow.net.loop import IN, Coroutine, Loop
 from standflow.net.peers import Peers
-from standflow.net.routes import Routes
+from standflow.net.routes import RouteWatch
 from standflow.ops.calls import Answer
 from standflow.ops.server import Server
 from tests.test_connections import Recorder
 from tests.test_endings import Wired
-from tests.wire import LIMIT, command, config, listener, member, program, read_until, turn_until
+from tests.wire import LIMIT, command, config, listener, member, program, read_until, run_until
 
 PING = b"*1\r\n$4\r\nPING\r\n"
 BEGIN = 0.6  # seconds after the start from which calls fail; it is ready after 0.3, on a busy machine after 2
@@ -113,19 +113,19 @@
 def test_a_connection_that_cannot_be_waited_on_at_once_is_served_and_one_that_never_can_is_closed() -> None:
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 10)
-    side.open()
+    side.start_serving()
     at.loop.epoll = Failing(at.loop.epoll, 2)  # type: ignore[assignment]
     with socket.create_connection(side.address) as client:
         client.sendall(PING)
-        turn_until(at.loop, lambda: select.select([client], [], [], 0)[0])
+        run_until(at.loop, lambda: select.select([client], [], [], 0)[0])
         assert client.recv(100) == b"+PONG\r\n"
     at.loop.epoll = Failing(at.loop.epoll, 3)  # type: ignore[assignment]
     with socket.create_connection(side.address) as client:
-        turn_until(at.loop, lambda: select.select([client], [], [], 0)[0])
+        run_until(at.loop, lambda: select.select([client], [], [], 0)[0])
         assert client.recv(100) == b""
     with socket.create_connection(side.address) as client:  # and the listener is there
         client.sendall(PING)
-        turn_until(at.loop, lambda: select.select([client], [], [], 0)[0])
+        run_until(at.loop, lambda: select.select([client], [], [], 0)[0])
         assert client.recv(100) == b"+PONG\r\n"
     assert [connection.reason for connection in side.connections if connection.task is None] == []
     at.close()
@@ -134,7 +134,7 @@
 def test_the_listener_outlives_a_fault_of_its_coroutine(monkeypatch: pytest.MonkeyPatch) -> None:
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 10)
-    side.open()
+    side.start_serving()
     accept, faults = side._accept, [ZeroDivisionError(), OSError(errno.EINVAL, "invalid")]
 
     def failing() -> bool:
@@ -145,7 +145,7 @@
     monkeypatch.setattr(side, "_accept", failing)
     with socket.create_connection(side.address) as client:
         client.sendall(PING)
-        turn_until(at.loop, lambda: select.select([client], [], [], 0)[0])
+        run_until(at.loop, lambda: select.select([client], [], [], 0)[0])
         assert client.recv(100) == b"+PONG\r\n"
     assert sum("fault of a coroutine, begun anew" in line for line in at.log) == 2
     at.close()
@@ -166,7 +166,7 @@
         peers = Peers(loop, log.append, ("127.0.0.1", 0), (nowhere, other.getsockname()), None, 0, told)
         for content in (b"bad", b"good"):
             other.sendto(content, peers.address)
-        turn_until(loop, lambda: heard)
+        run_until(loop, lambda: heard)
         assert heard == [b"good"]
         assert "fault of a coroutine, begun anew" in log[0]
     loop.epoll.close()
@@ -182,7 +182,7 @@
         raise ZeroDivisionError
 
     loop.every(0.001, call)
-    turn_until(loop, lambda: times[0] == 3)
+    run_until(loop, lambda: times[0] == 3)
     assert len(log) >= 2
     loop.epoll.close()
 
@@ -206,19 +206,19 @@
 
     whole = json.dumps({"revision": 7, "complete": True, "members": []}).encode() + b"\n"
     with listener() as agent:
-        routes = Routes(loop, log.append, agent.getsockname(), (), 3, take, Unhurried())  # type: ignore[arg-type]
+        routes = RouteWatch(loop, log.append, agent.getsockname(), (), 3, take, Unhurried())  # type: ignore[arg-type]
         routes.connect()
         asked = []
         for number in range(2):
-            turn_until(loop, lambda: select.select([agent], [], [], 0)[0])
+            run_until(loop, lambda: select.select([agent], [], [], 0)[0])
             watch = agent.accept()[0]
             watch.settimeout(LIMIT)
-            turn_until(loop, lambda: select.select([watch], [], [], 0)[0])  # noqa: B023
+            run_until(loop, lambda: select.select([watch], [], [], 0)[0])  # noqa: B023
             asked.append(read_until(watch, b"\r\n\r\n").split()[1])
             head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             watch.sendall(head + b"%x\r\n%b\r\n" % (len(whole), whole))
             wanted = number + 1
-            turn_until(loop, lambda: len(told) == wanted)  # noqa: B023
+            run_until(loop, lambda: len(told) == wanted)  # noqa: B023
             if number:
                 watch.close()
     assert asked == [b"/v1/endpoints?follow=1&since=3", b"/v1/endpoints?follow=1"]
@@ -244,7 +244,7 @@
         turns[0] += 1
         return bool(ended)
 
-    turn_until(loop, over)
+    run_until(loop, over)
     assert ended[0] - began >= 0.05
     for sock in (ours, other):
         sock.close()
@@ -259,9 +259,9 @@
         wired = Wired(hop.getsockname())
         client = wired.ask("aa01")
         monkeypatch.setattr(socket.socket, "connect_ex", connect)
-        monkeypatch.setattr(loop_module, "LACK_PAUSE", 0.001)
+        monkeypatch.setattr(loop_module, "RETRY_PAUSE", 0.001)
         wired.send()
-        turn_until(wired.at.loop, lambda: wired.at.ended)
+        run_until(wired.at.loop, lambda: wired.at.ended)
         assert [outcome for _, outcome in wired.at.ended] == [Outcome.MOOT]
         client.close()
         wired.at.close()
@@ -275,12 +275,12 @@
     loop, send = Loop(log.append), socket.socket.send
     monkeypatch.setattr(socket.socket, "send", lambda sock, data: send(sock, data[:7]))
     with listener() as agent:
-        routes = Routes(loop, log.append, agent.getsockname(), (), 3, lambda told: None, Random(1))
+        routes = RouteWatch(loop, log.append, agent.getsockname(), (), 3, lambda told: None, Random(1))
         routes.connect()
-        turn_until(loop, lambda: select.select([agent], [], [], 0)[0])
+        run_until(loop, lambda: select.select([agent], [], [], 0)[0])
         watch = agent.accept()[0]
         watch.settimeout(LIMIT)
-        turn_until(loop, lambda: select.select([watch], [], [], 0)[0])
+        run_until(loop, lambda: select.select([watch], [], [], 0)[0])
         assert read_until(watch, b"\r\n\r\n").startswith(b"GET /v1/endpoints?follow=1&since=3 HTTP/1.1\r\n")
         watch.close()
     routes.close()
@@ -313,7 +313,7 @@
         began = time.monotonic()
         with pytest.raises(OSError, match="in use"):
             ClientSide(at.loop, at.log.append, at.exchange, other.getsockname(), 10)
-        assert time.monotonic() - began < momentary.START_PATIENCE / 2
+        assert time.monotonic() - began < transient_errors.STARTUP_TIMEOUT / 2
     at.close()
 
 
@@ -323,7 +323,7 @@
         client = wired.ask("aa01")
         wired.at.loop.epoll = Failing(wired.at.loop.epoll, 3)  # type: ignore[assignment]
         wired.send()
-        turn_until(wired.at.loop, lambda: wired.at.ended)
+        run_until(wired.at.loop, lambda: wired.at.ended)
         assert [outcome for _, outcome in wired.at.ended] == [Outcome.MOOT]
         assert wired.hops.connections == 0
         assert not wired.hops.hops["s-1"].connections
@@ -338,10 +338,10 @@
     loop = Loop(log.append)
     loop.epoll = Failing(loop.epoll, 3)  # type: ignore[assignment]
     with listener() as agent:
-        routes = Routes(loop, log.append, agent.getsockname(), (), 3, lambda told: None, Random(1))
+        routes = RouteWatch(loop, log.append, agent.getsockname(), (), 3, lambda told: None, Random(1))
         routes.connect()
         assert routes.task is None
-        turn_until(loop, lambda: select.select([agent], [], [], 0)[0])
+        run_until(loop, lambda: select.select([agent], [], [], 0)[0])
         agent.accept()[0].close()
     routes.close()
     loop.epoll.close()
@@ -354,11 +354,11 @@
     with listener() as counter:
         client = Client(loop, log.append, counter.getsockname())
         client.add("a", 1.0, 1.0, ends.append)
-        turn_until(loop, lambda: ends)
+        run_until(loop, lambda: ends)
         assert [end.how for end in ends] == [How.NOTHING]
         assert client.connections == []
         client.add("a", 1.0, 1.0, ends.append)
-        turn_until(loop, lambda: select.select([counter], [], [], 0)[0])
+        run_until(loop, lambda: select.select([counter], [], [], 0)[0])
     client.close()
     loop.epoll.close()
 
@@ -377,7 +377,7 @@
     monkeypatch.setattr(server, "_accept", failing)
     with socket.create_connection(server.address) as operator:
         operator.sendall(b"GET /api/ready HTTP/1.1\r\nHost: a\r\n\r\n")
-        turn_until(loop, lambda: select.select([operator], [], [], 0)[0])
+        run_until(loop, lambda: select.select([operator], [], [], 0)[0])
         assert operator.recv(4096).startswith(b"HTTP/1.1 200")
     assert "fault of a coroutine, begun anew" in log[0]
     server.close()
--- a/tests/test_handshakes.py
+++ b/tests/test_handshakes.py
@@ -25,7 +25,7 @@
 from standflow.handshakes.showing import Showing
 from standflow.handshakes.turns import Turns, Warming, bound
 from tests.test_tls import CERT, Rig, options
-from tests.wire import turn_until
+from tests.wire import run_until
 
 WARMING = Warming(0.15, 17.0)
 OPTIONS = HandshakeOptions(
@@ -386,7 +386,7 @@
             changes.get("ready", 1),
         )
         self.keeper.resumable, self.keeper.forget = rig.streams.resumable, rig.streams.forget
-        rig.streams.changed = self.keeper.replace
+        rig.streams.on_change = self.keeper.replace
         self.revision = 10
 
     def told(self, phase: Phase = Phase.SERVING, up: float | None = None) -> None:
@@ -398,7 +398,7 @@
         return [one.hop for one in self.shown[-1].routes]
 
     def until(self, met: Any) -> None:
-        turn_until(self.rig.at.loop, met)
+        run_until(self.rig.at.loop, met)
 
 
 @pytest.fixture
@@ -485,7 +485,7 @@
     kept.until(lambda: kept.shown_hops() == ["tt-07"])
     rigged.box.mode.silent = True
     busy = rigged.send()
-    kept.until(lambda: busy.carrier.whole)
+    kept.until(lambda: busy.carrier.fully_written)
     rigged.streams.reload(rigged.streams.options)
     rigged.box.mode = Mode()
     kept.until(lambda: rigged.ends().count("rotated") == 2)
@@ -537,7 +537,7 @@
     kept.told()
     for _ in range(5):
         rigged.at.loop.call_later(0.002, int)
-        rigged.at.loop.turn()
+        rigged.at.loop.run_once()
     assert not rigged.at.log[1:]
     rigged.side.max_connections = 1
     kept.until(lambda: kept.shown_hops() == ["tt-07"])
