--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -14,13 +14,13 @@
 from hypothesis import strategies as st
 
 from standflow.exchange import Outcome, Phase, Route, RouteSet
-from standflow.net.bodies import Bodies
 from standflow.net.client_side import ClientSide
-from standflow.net.flow import MOST, Flow, Flows
+from standflow.net.flow import MAX_WINDOW, Flow, FlowBudget
+from standflow.net.memory_budget import MemoryBudget
 from standflow.net.nexthop import NextHops
 from tests.test_connections import Recorder
 from tests.test_ops import VALUE, shown, with_ops
-from tests.wire import LIMIT, command, config, listener, member, program, read_until, turn_until
+from tests.wire import LIMIT, command, config, listener, member, program, read_until, run_until
 
 LONG = bytes(range(256)) * 400  # over 64 KiB
 REPLY = b"*3\r\n$%d\r\n%b\r\n$-1\r\n$2\r\na=\r\n" % (len(LONG), LONG)
@@ -34,27 +34,27 @@
 def test_a_pipe_gives_what_it_was_given_and_holds_no_more_than_its_room(
     size: int, steps: list[tuple[bool, int]], others: int
 ) -> None:
-    flows, resumed, got, sent = Flows(300_000), [0], bytearray(), 0
+    flows, resumed, got, sent = FlowBudget(300_000), [0], bytearray(), 0
     rest = [Flow(flows, 1, lambda: None) for _ in range(others)]
     flow = Flow(flows, size, lambda: resumed.__setitem__(0, resumed[0] + 1))
     for put, number in steps:
         if put:
-            piece = min(number, flow.room, flow.left)
+            piece = min(number, flow.capacity, flow.remaining)
             if piece:
                 flow.put(bytes((sent + n) % 251 for n in range(piece)))
                 sent += piece
         else:
-            blocked, before = not flow.room, resumed[0]
+            blocked, before = not flow.capacity, resumed[0]
             taken = flow.take(number)
             got += taken
             assert len(taken) <= number
-            assert resumed[0] == before + (blocked and bool(flow.room))
-        assert flow.held == sent - len(got) <= flows.window <= MOST
-        assert flow.left == size - sent
+            assert resumed[0] == before + (blocked and bool(flow.capacity))
+        assert flow.buffered == sent - len(got) <= flows.window <= MAX_WINDOW
+        assert flow.remaining == size - sent
     assert bytes(got) == bytes(n % 251 for n in range(len(got)))
     for one in (flow, *rest):
-        one.cut()
-        one.cut()
+        one.abort()
+        one.abort()
     assert flows.open == 0
 
 
@@ -62,7 +62,7 @@
 def test_room_for_bodies_is_given_in_turn_never_beyond_the_budget_and_always_at_last(
     steps: list[tuple[str, int]],
 ) -> None:
-    bodies, waiting, held = Bodies(100), deque[int](), dict[int, int]()
+    bodies, waiting, held = MemoryBudget(100), deque[int](), dict[int, int]()
     sizes: dict[int, int] = {}
 
     def granted(who: int) -> None:
@@ -80,7 +80,7 @@
         elif step == "leave" and waiting:
             gone = waiting[number % len(waiting)]
             waiting.remove(gone)
-            bodies.forget(gone)
+            bodies.cancel(gone)
         assert bodies.used == sum(held.values())
         assert bodies.used <= 100 or len(held) == 1
         assert not waiting or held  # nobody waits for nobody
@@ -100,7 +100,7 @@
         self.side = ClientSide(loop, log, exchange, ("127.0.0.1", 0), 9)
         self.side.ready = True
         route = Route("s-1", self.hop.getsockname()[:2], "z1", "std", 0, Phase.SERVING, 1.0, None)
-        self.hops.routes_told(RouteSet(1, True, (route,)))
+        self.hops.update_routes(RouteSet(1, True, (route,)))
         self.caller = socket.create_connection(self.side.address)
         self.caller.setblocking(False)
         self.got = bytearray()
@@ -118,14 +118,14 @@
             return met()
 
         self.closed = False
-        turn_until(self.at.loop, read)
+        run_until(self.at.loop, read)
 
     def ask(self, text: bytes = b"") -> socket.socket:
         self.caller.sendall(text or command("aa01"))
         self.until(lambda: self.at.opened)
         self.at.exchange.send(self.at.opened[-1].name, "s-1", None)
         self.at.loop.call_later(0, int)
-        self.at.loop.turn()
+        self.at.loop.run_once()
         sock = self.hop.accept()[0]
         sock.settimeout(LIMIT)
         return sock
@@ -197,7 +197,7 @@
         for transaction in self.at.opened:
             self.at.exchange.send(transaction.name, "s-1", None)
             self.at.loop.call_later(0, int)
-            self.at.loop.turn()
+            self.at.loop.run_once()
             self.sent.append(self.hop.accept()[0])
             self.sent[-1].settimeout(LIMIT)
 
@@ -233,7 +233,7 @@
     assert rig.got.startswith(b"-ERR")
     assert not rig.closed
     rig.wait(0.05)
-    assert (rig.side.values.used, rig.hops.flows.open, rig.at.exchange.open_count) == (0, 0, 0)
+    assert (rig.side.value_budget.used, rig.hops.flows.open, rig.at.exchange.open_count) == (0, 0, 0)
     rig.close()
 
 
@@ -247,7 +247,7 @@
         rig.wait(0.01)
     rig.until(lambda: rig.got.count(b"va\r\nl\r\n") == 2)
     assert bytes(rig.got).startswith(b"$%d\r\n%b\r\n$" % (len(LONG), LONG))
-    assert (rig.side.values.used, rig.hops.flows.open) == (0, 0)
+    assert (rig.side.value_budget.used, rig.hops.flows.open) == (0, 0)
     rig.close()
 
 
@@ -259,7 +259,7 @@
     rig.until(lambda: rig.got.endswith(b"va\r\nl\r\n"))
     assert rig.at.loop.now() - deadline < 0.2
     assert rig.got.startswith(b"-ERR")
-    assert (rig.side.values.used, rig.hops.flows.open, rig.at.exchange.open_count) == (0, 0, 0)
+    assert (rig.side.value_budget.used, rig.hops.flows.open, rig.at.exchange.open_count) == (0, 0, 0)
     rig.close()
 
 
@@ -286,12 +286,12 @@
         target=lambda: _send(hop, b"*3\r\n$%d\r\n%b\r\n$-1\r\n$2\r\na=\r\n" % (size, bytes(size)))
     )
     writer.start()
-    turn_until(rig.at.loop, lambda: rig.at.began)
+    run_until(rig.at.loop, lambda: rig.at.began)
     rig.caller.sendall(command("aa02"))
-    turn_until(rig.at.loop, lambda: len(rig.at.opened) == 2)  # the client has taken nothing yet
-    assert 0 < rig.side.values.used <= size
+    run_until(rig.at.loop, lambda: len(rig.at.opened) == 2)  # the client has taken nothing yet
+    assert 0 < rig.side.value_budget.used <= size
     rig.until(lambda: len(rig.got) > size)
-    rig.until(lambda: rig.side.values.used == 0)
+    rig.until(lambda: rig.side.value_budget.used == 0)
     writer.join(LIMIT)
     rig.close()
 
@@ -299,9 +299,9 @@
 def test_long_values_that_find_no_room_wait_for_their_turn() -> None:
     """Room for one value, which another connection has: until that is free only a pipe's part is taken in."""
     rig = Behind(1)
-    size = 4 * MOST
-    rig.side.values.budget = size
-    taken = rig.side.values.reserve("another", size, lambda: None)
+    size = 4 * MAX_WINDOW
+    rig.side.value_budget.budget = size
+    taken = rig.side.value_budget.reserve("another", size, lambda: None)
     assert taken
     rig.sent[1].sendall(VALUE)
     reply = b"*3\r\n$%d\r\n%b\r\n$-1\r\n$2\r\na=\r\n" % (size, bytes(size))
@@ -310,12 +310,12 @@
     rig.wait(0.1)
     flow = next(iter(rig.side.connections)).slots[0].flow
     assert flow is not None
-    assert 0 < flow.held <= MOST
+    assert 0 < flow.buffered <= MAX_WINDOW
     assert not rig.got
-    rig.side.values.release(size)
+    rig.side.value_budget.release(size)
     rig.until(lambda: rig.got.endswith(b"va\r\nl\r\n"))
     assert rig.got.startswith(b"$%d\r\n" % size)
-    assert rig.side.values.used == 0
+    assert rig.side.value_budget.used == 0
     writer.join(LIMIT)
     rig.close()
 
@@ -338,17 +338,17 @@
     writer = threading.Thread(target=lambda: _send(hop, head + bytes(size) + b"\r\n"))
     writer.start()
     connection = next(iter(rig.side.connections))
-    turn_until(rig.at.loop, lambda: rig.at.began)
+    run_until(rig.at.loop, lambda: rig.at.began)
     for _ in range(300):
         rig.at.loop.call_later(0.001, int)
-        rig.at.loop.turn()
+        rig.at.loop.run_once()
         flow = connection.slots[0].flow
         assert flow is not None
-        assert flow.held + len(connection.out) <= 2 * MOST
+        assert flow.buffered + len(connection.unsent) <= 2 * MAX_WINDOW
     assert flow is not None
-    assert flow.left > 0
+    assert flow.remaining > 0
     rig.caller.close()
-    turn_until(rig.at.loop, lambda: rig.at.ended)
+    run_until(rig.at.loop, lambda: rig.at.ended)
     assert rig.at.ended[0][1] is Outcome.CANCELLED
     assert (rig.at.exchange.ends["look"].gone, rig.at.exchange.open_count, rig.hops.flows.open) == (1, 0, 0)
     writer.join(LIMIT)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -18,13 +18,13 @@
 from hypothesis import strategies as st
 
 from standflow.exchange import Ends, Phase, Route, RouteSet
-from standflow.net.client_side import PRESS
+from standflow.net.client_side import DRAIN_PERIOD
 from standflow.net.loop import IN, Coroutine, Loop
-from standflow.net.nexthop import REST
+from standflow.net.nexthop import COOL_DOWN
 from standflow.ops import figures, server
 from standflow.ops.calls import Answer, Calls
 from standflow.ops.overlay import MOST_OUT, Overlay
-from tests.wire import LIMIT, Program, command, config, listener, member, program, read_until, turn_until
+from tests.wire import LIMIT, Program, command, config, listener, member, program, read_until, run_until
 
 VALUE = b"*3\r\n$5\r\nva\r\nl\r\n$-1\r\n$-1\r\n"
 PING = b"*1\r\n$4\r\nPING\r\n"
@@ -311,7 +311,7 @@
             at_hop = hop.accept()[0]
             read_until(at_hop, b"first=0\r\n")
             ask(running, "POST", "/api/evacuate")
-            time.sleep(PRESS + 0.2)
+            time.sleep(DRAIN_PERIOD + 0.2)
             caller.sendall(command("a1"))  # too late to be served, and owed an answer all the same
             at_hop.sendall(VALUE)
             answers = b""
@@ -333,10 +333,10 @@
             read_until(at_hop, b"first=0\r\n")
             for call in ("evacuate", "rejoin", "rejoin"):
                 assert ask(running, "POST", f"/api/{call}")[0] == 200
-            time.sleep(PRESS + 0.2)  # the drain that was taken back presses nobody
+            time.sleep(DRAIN_PERIOD + 0.2)  # the drain that was taken back presses nobody
             at_hop.sendall(VALUE)
             assert read_until(busy, b"l\r\n").startswith(b"$5")
-            time.sleep(2 * REST)  # a connection rests after an answer
+            time.sleep(2 * COOL_DOWN)  # a connection rests after an answer
             busy.sendall(command("aa02"))
             read_until(at_hop, b"first=0\r\n")
             assert ask(running, "POST", "/api/evacuate")[0] == 200
@@ -360,8 +360,8 @@
     for number, (ours, theirs) in enumerate(pairs):
         loop.spawn(ours.fileno(), wait(number, ours))
         theirs.send(b"x")
-    loop.first.add(pairs[41][0].fileno())
-    loop.turn()
+    loop.priority_fds.add(pairs[41][0].fileno())
+    loop.run_once()
     assert order[0] == 41
     assert sorted(order) == list(range(60))
     for pair in pairs:
@@ -381,11 +381,11 @@
         patched.setattr(socket.socket, "accept", none_left)
         for _ in range(50):
             loop.call_later(0.0, int)
-            loop.turn()
+            loop.run_once()
         assert len(log) == 1
         patched.undo()
         caller.sendall(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-        turn_until(loop, lambda: select.select([caller], [], [], 0)[0])
+        run_until(loop, lambda: select.select([caller], [], [], 0)[0])
         assert caller.recv(100).startswith(b"HTTP/1.1 200")
     listening.close()
     loop.epoll.close()
--- a/tests/test_orderly_close.py
+++ b/tests/test_orderly_close.py
@@ -9,10 +9,10 @@
 
 from standflow.net.backend_connection import Connection
 from standflow.net.client_connection import ClientConnection
-from standflow.net.client_side import MAX_HALF, SPEAK_WITHIN, ClientSide
+from standflow.net.client_side import FIRST_COMMAND_TIMEOUT, MAX_READ_STALLS, ClientSide
 from tests.test_connections import Recorder
 from tests.test_endings import Wired
-from tests.wire import LIMIT, command, listener, read_until, turn_until
+from tests.wire import LIMIT, command, listener, read_until, run_until
 
 PING = b"*1\r\n$4\r\nPING\r\n"
 VALUE = b"*3\r\n$2\r\nva\r\n$-1\r\n$-1\r\n"
@@ -24,13 +24,13 @@
     def __init__(self, sent: bytes = PING) -> None:
         self.at = Recorder()
         self.side = ClientSide(self.at.loop, self.at.log.append, self.at.exchange, ("127.0.0.1", 0), 10)
-        self.side.open()
+        self.side.start_serving()
         self.client = socket.create_connection(self.side.address)
         self.client.settimeout(LIMIT)
         self.client.sendall(sent)
-        turn_until(self.at.loop, lambda: self.side.connections)
+        run_until(self.at.loop, lambda: self.side.connections)
         self.connection = next(iter(self.side.connections))
-        turn_until(self.at.loop, lambda: self.connection.answered or self.connection.buffer.data or not sent)
+        run_until(self.at.loop, lambda: self.connection.answered or self.connection.buffer.data or not sent)
 
     def crosses(self, monkeypatch: pytest.MonkeyPatch, name: str, sent: bytes) -> None:
         """Right after this look at the connection more comes."""
@@ -58,7 +58,7 @@
     assert one.client.recv(100) == b""
     one.client.sendall(command("aa02"))
     one.client.close()
-    turn_until(one.at.loop, lambda: not one.side.connections)
+    run_until(one.at.loop, lambda: not one.side.connections)
     assert one.at.opened == []
     one.close()
 
@@ -69,8 +69,8 @@
 ) -> None:
     one = Resting()
     if ends == "at the cap":
-        one.crosses(monkeypatch, "has_more", command("aa01"))
-        one.side._make_room()
+        one.crosses(monkeypatch, "has_pending_bytes", command("aa01"))
+        one.side._evict_idle()
     else:
         one.client.sendall(command("aa01"))
         one.side.close()
@@ -86,9 +86,9 @@
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     one = Resting(sent)
-    one.crosses(monkeypatch, "has_more", b"NG\r\n")
-    one.connection.made -= SPEAK_WITHIN + 1
-    one.connection.stalls = MAX_HALF + 1
+    one.crosses(monkeypatch, "has_pending_bytes", b"NG\r\n")
+    one.connection.created_at -= FIRST_COMMAND_TIMEOUT + 1
+    one.connection.stalls = MAX_READ_STALLS + 1
     one.side._sweep()
     assert read_until(one.client, b"\r\n").startswith(b"-ERR no whole command")
     assert one.client.recv(100) == b""
@@ -98,7 +98,7 @@
 @pytest.mark.parametrize("ends", ["idle", "given up"])
 def test_half_a_line_of_a_backend_that_crosses_a_close_does_not_reset_the_connection(ends: str) -> None:
     with listener() as hop:
-        wired = Wired(hop.getsockname(), rest=0.0)
+        wired = Wired(hop.getsockname(), cool_down=0.0)
         client = wired.ask("aa01")
         wired.send()
         at_backend = wired.accept(hop)
@@ -121,7 +121,7 @@
     """More than are accepted in one go: the rest was reset with the listener."""
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 500)
-    side.open()
+    side.start_serving()
     clients = [socket.create_connection(side.address) for _ in range(150)]
     side.stop()
     assert len(side.connections) == len(clients)
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -12,7 +12,7 @@
 from standflow.config.directives import TOP
 from standflow.config.page import page
 from standflow.config.schema import Directive
-from standflow.tls.reasons import VERIFY
+from standflow.tls.reasons import VERIFY_REASONS
 from tests.test_adapter import ROOT
 
 
@@ -54,7 +54,11 @@
 def test_every_reason_code_of_tls_is_on_the_operators_page() -> None:
     text = (ROOT / "docs" / "operators" / "tls.md").read_text()
     sources = "".join(path.read_text() for path in (ROOT / "standflow" / "tls").glob("*.py"))
-    said = set(re.findall(r'return "([a-z_]+)"', sources)) | set(VERIFY.values()) | {"truncated", "rotated"}
+    said = (
+        set(re.findall(r'return "([a-z_]+)"', sources))
+        | set(VERIFY_REASONS.values())
+        | {"truncated", "rotated"}
+    )
     assert {"cut_off", "not_tls", "handshake_timeout", "no_name"} <= said
     for reason in said - {"unasked_bytes", "given_up"}:
         assert f"`{reason}`" in text, reason
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -15,7 +15,7 @@
 from standflow.assembly import Ingress
 from standflow.config import read
 from standflow.net.loop import Loop
-from standflow.net.nexthop import REST
+from standflow.net.nexthop import COOL_DOWN
 from tests.test_adapter import ROOT
 from tests.wire import (
     LIMIT,
@@ -25,7 +25,7 @@
     member,
     program,
     read_until,
-    turn_until,
+    run_until,
     with_deadline,
 )
 
@@ -146,7 +146,7 @@
         assert read_until(other, b"\r\n") == b"-ERR the id is another open request's\r\n"
         at_hop.sendall(VALUE)
         assert read_until(caller, b"l\r\n") == ANSWER
-        time.sleep(2 * REST)  # a connection rests after an answer
+        time.sleep(2 * COOL_DOWN)  # a connection rests after an answer
         other.sendall(command("aa01"))  # it is over: the id is free again
         read_until(at_hop, b"first=0\r\n")
         at_hop.sendall(VALUE)
@@ -214,7 +214,7 @@
     with socket.create_connection(ingress.clients.address) as late:
         late.settimeout(LIMIT)
         late.sendall(b"*1\r\n$4\r\nPING\r\n")
-        turn_until(loop, lambda: loop.stopped)  # the connection's end is the last thing that is waited for
+        run_until(loop, lambda: loop.stopped)  # the connection's end is the last thing that is waited for
         assert read_until(late, b"\r\n") == b"+PONG\r\n"
         assert late.recv(10) == b""
     ingress.close()
@@ -384,14 +384,14 @@
         connection.sendall(
             command("00000000000000aa")
         )  # nobody listens there: every branch fails, one answer is given
-        turn_until(loop, lambda: any("connect_failed" in line for line in log))
-        turn_until(loop, lambda: ingress.tally.counts.get("answer.refused", 0) == 1)
+        run_until(loop, lambda: any("connect_failed" in line for line in log))
+        run_until(loop, lambda: ingress.tally.counts.get("answer.refused", 0) == 1)
         assert read_until(connection, b"\r\n").startswith(b"-BUSY")
     known = ingress.config.known
     assert known is not None
-    ingress.next_hops.routes_told(replace(known, routes=()))
+    ingress.next_hops.update_routes(replace(known, routes=()))
     ingress.driver.routes_told(replace(known, routes=()))
     assert not ingress.driver.module.backends
-    turn_until(loop, lambda: not ingress.next_hops.hops)
+    run_until(loop, lambda: not ingress.next_hops.hops)
     ingress.close()
     loop.epoll.close()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -16,7 +16,7 @@
 from standflow.config.model import ConfigError
 from standflow.config.reload import missing, shape
 from standflow.exchange import Branch, Outcome, Request, Result, UnacceptableError
-from standflow.net.nexthop import REST
+from standflow.net.nexthop import COOL_DOWN
 from tests.test_connections import Recorder
 from tests.test_ops import VALUE, shown, with_ops
 from tests.wire import LIMIT, command, config, listener, member, program, read_until
@@ -168,7 +168,7 @@
             read_until(at_hop, b"first=0\r\n")
             at_hop.sendall(VALUE)
             assert read_until(caller, b"l\r\n").startswith(b"$5")
-            time.sleep(2 * REST)  # a connection rests after an answer
+            time.sleep(2 * COOL_DOWN)  # a connection rests after an answer
             caller.sendall(command("aa03", "Q.ASK", "new"))
             read_until(at_hop, b"first=0\r\n")
             at_hop.sendall(VALUE)
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -75,7 +75,7 @@
     pieces.insert(place, b"d=480")
     got = ask(b",".join(pieces))
     assert isinstance(got, resp.Ask)
-    assert (got.patience, got.units, got.spread, got.first) == (0.48, 2.0, 3, 1)
+    assert (got.time_left, got.units, got.spread, got.first) == (0.48, 2.0, 3, 1)
     buffer = resp.Buffer()
     buffer.feed(b"".join(resp.encode_ask(got, 0.1239)))
     pieces[place] = b"d=123"
@@ -114,15 +114,15 @@
     assert resp.decode_answer([b"v", b"86", b"queue=2,util=0.61"]) == resp.Value(
         b"v", 86.0, {"queue": 2.0, "util": 0.61}
     )
-    assert resp.decode_answer(resp.ErrorLine(b"BUSY")) == resp.TurnedAway()
-    assert resp.decode_answer(resp.ErrorLine(b"ERR failed queue=2")) == resp.Broken(
+    assert resp.decode_answer(resp.ErrorReply(b"BUSY")) == resp.BusyReply()
+    assert resp.decode_answer(resp.ErrorReply(b"ERR failed queue=2")) == resp.FailedReply(
         "ERR failed queue=2", {"queue": 2.0}
     )
-    assert resp.decode_answer(resp.ErrorLine(b"BUSY queue=2")) == resp.TurnedAway({"queue": 2.0})
+    assert resp.decode_answer(resp.ErrorReply(b"BUSY queue=2")) == resp.BusyReply({"queue": 2.0})
     for spoilt in (b"BUSYX", b"BUSY \xff\x00", b"BUSY queue=nan", b"busy"):  # none proves that it never ran
-        assert isinstance(resp.decode_answer(resp.ErrorLine(spoilt)), resp.Broken)
+        assert isinstance(resp.decode_answer(resp.ErrorReply(spoilt)), resp.FailedReply)
     assert resp.decode_answer([b"v", b"\xff", b"queue=nan,util=inf,=3,x"]) == resp.Value(b"v")
-    odds: list[resp.Reply] = [None, b"v", 3, [], [None, None], resp.Line(b"v")]
+    odds: list[resp.Reply] = [None, b"v", 3, [], [None, None], resp.SimpleString(b"v")]
     for odd in odds:
         with pytest.raises(resp.FramingError):
             resp.decode_answer(odd)
--- a/tests/test_restart_readiness.py
+++ b/tests/test_restart_readiness.py
@@ -13,7 +13,7 @@
 from standflow.config import read
 from standflow.net.loop import Loop
 from tests.test_endings import Held, known
-from tests.wire import LIMIT, config, listener, program, read_until, turn_until
+from tests.wire import LIMIT, config, listener, program, read_until, run_until
 
 AT_ONCE = 20
 LONGEST_WAIT = 1.0  # seconds of the ten that a restart may take; the rest is left to the process's own start
@@ -62,9 +62,9 @@
         assert due[0] <= loop.now() + READY_AT_LATEST <= loop.now() + LONGEST_WAIT
         with socket.create_connection(ingress.clients.address, LIMIT) as client:
             client.sendall(PING)
-            turn_until(loop, lambda: ingress.clients.ready)
+            run_until(loop, lambda: ingress.clients.ready)
             assert loop.now() >= before + READY_AT_LATEST  # the list may be stale: discovery comes first
-            turn_until(loop, lambda: any(connection.answered for connection in ingress.clients.connections))
+            run_until(loop, lambda: any(connection.answered for connection in ingress.clients.connections))
             assert read_until(client, b"\r\n") == b"+PONG\r\n"
         assert not ingress.told
         ingress.close()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -37,7 +37,7 @@
     listener,
     program,
     read_until,
-    turn_until,
+    run_until,
     with_deadline,
 )
 
@@ -320,20 +320,20 @@
     """All connections have a request open as the listener is to end: it ends when all who wait are in."""
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 2)
-    side.open()
+    side.start_serving()
     clients = [socket.create_connection(side.address) for _ in range(3)]
     for number, client in enumerate(clients):
         client.settimeout(LIMIT)
         client.sendall(command(f"aa{number:02}", d=60_000))
-    turn_until(at.loop, lambda: len(at.opened) == 2 and side.waiting_since is not None)
+    run_until(at.loop, lambda: len(at.opened) == 2 and side.waiting_since is not None)
     side.stop()
     assert side.listener is not None
     at.exchange.refuse(at.opened[0].name, None)
-    turn_until(at.loop, lambda: len(at.opened) == 3)
+    run_until(at.loop, lambda: len(at.opened) == 3)
     at.exchange.refuse(at.opened[2].name, None)
-    turn_until(at.loop, lambda: len(side.connections) == 1)
+    run_until(at.loop, lambda: len(side.connections) == 1)
     assert read_until(clients[2], b"\r\n") == b"-BUSY\r\n"
-    turn_until(at.loop, lambda: side.listener is None)
+    run_until(at.loop, lambda: side.listener is None)
     for client in clients:
         client.close()
     at.close()
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -32,7 +32,7 @@
 from standflow.tls.sessions import Sessions
 from standflow.tls.streams import TlsStreams
 from tests.test_connections import STEPS, NextHopModel, Recorder
-from tests.wire import LIMIT, turn_until
+from tests.wire import LIMIT, run_until
 
 NAME = "tt-07.room-b.example.org"
 AUTHORITY = Authority()  # making keys is slow, and none of these tests wants its own
@@ -79,7 +79,7 @@
     def tell(self, up_since: float | None = None, phase: Phase = Phase.SERVING, zone: str = "room-b") -> None:
         self.revision += 1
         route = Route("tt-07", self.address, zone, "std", 0, phase, 1.0, up_since)
-        self.side.routes_told(RouteSet(self.revision, True, (route,)))
+        self.side.update_routes(RouteSet(self.revision, True, (route,)))
 
     def send(self, kind: str = "change", body: bytes | None = None) -> Branch:
         self.serial += 1
@@ -94,7 +94,7 @@
 
     def ask(self, kind: str = "change", body: bytes | None = None) -> Outcome:
         branch = self.send(kind, body)
-        turn_until(self.at.loop, lambda: branch.ended is not None)
+        run_until(self.at.loop, lambda: branch.ended is not None)
         assert branch.ended is not None
         return branch.ended
 
@@ -102,7 +102,7 @@
         return [line.split()[3] for line in self.at.log if line.startswith("end nexthop")]
 
     def ended(self, reason: str) -> None:
-        turn_until(self.at.loop, lambda: reason in self.ends())
+        run_until(self.at.loop, lambda: reason in self.ends())
 
     def drop(self) -> None:
         self.side.close_idle("tt-07")
@@ -308,22 +308,22 @@
     thread = threading.Thread(target=serve)
     thread.start()
     with listener, rig(listener.getsockname(), options(tmp_path)) as at:
-        make = at.side.make
+        make = at.side.make_stream
 
         def small(route: Route, sock: socket.socket) -> Any:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             return make(route, sock)
 
-        at.side.make = small
+        at.side.make_stream = small
         branch = at.send(body=b"b" * 65000)
-        turn_until(at.at.loop, lambda: branch.carrier.begun)
-        rounds = at.at.loop.round + 20
-        turn_until(at.at.loop, lambda: at.at.loop.round >= rounds)
-        assert not branch.carrier.whole
+        run_until(at.at.loop, lambda: branch.carrier.write_started)
+        rounds = at.at.loop.iteration + 20
+        run_until(at.at.loop, lambda: at.at.loop.iteration >= rounds)
+        assert not branch.carrier.fully_written
         thread.join(LIMIT)
         held[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         held[0].sock.close()
-        turn_until(at.at.loop, lambda: branch.ended is not None)
+        run_until(at.at.loop, lambda: branch.ended is not None)
         assert branch.ended is Outcome.CONNECT_FAILED
 
 
@@ -350,10 +350,10 @@
         tracemalloc.start()
         try:
             branch = at.send(body=body)
-            turn_until(at.at.loop, lambda: branch.carrier.begun)
-            assert not branch.carrier.whole
+            run_until(at.at.loop, lambda: branch.carrier.write_started)
+            assert not branch.carrier.fully_written
             go.set()
-            turn_until(at.at.loop, lambda: branch.ended is not None)
+            run_until(at.at.loop, lambda: branch.ended is not None)
             peak = tracemalloc.get_traced_memory()[1] - sum(map(len, held))
         finally:
             tracemalloc.stop()
@@ -379,11 +379,11 @@
         self.wire = Wire(self.listener.accept()[0], self.context)
         thread = threading.Thread(target=self.wire.handshake)
         thread.start()
-        turn_until(at.at.loop, lambda: not thread.is_alive())
+        run_until(at.at.loop, lambda: not thread.is_alive())
         return RecordWriter.of(self.log)
 
     def command(self, at: Rig, branch: Branch) -> bytes:
-        turn_until(at.at.loop, lambda: branch.carrier is None or branch.carrier.whole)
+        run_until(at.at.loop, lambda: branch.carrier is None or branch.carrier.fully_written)
         return self.wire.read()
 
     def __enter__(self) -> Scripted:
@@ -407,7 +407,7 @@
             before = writer.update(requested) if serial % 2 else b""
             hop.wire.put(before + writer.record(DATA, VALUE[:4]) + writer.update(requested))
             hop.wire.put(writer.record(DATA, VALUE[4:]) + writer.update(requested))
-            turn_until(at.at.loop, lambda branch=branch: branch.ended is not None)  # type: ignore[misc]
+            run_until(at.at.loop, lambda branch=branch: branch.ended is not None)  # type: ignore[misc]
             assert branch.ended is Outcome.OK
             hop.wire.put(writer.update(requested))  # it lies unread when the next command is due
             branch = at.send()
@@ -423,15 +423,15 @@
         ticket = b"\0\0\x0e\x10" + b"\1\2\3\4" + b"\1n" + b"\0\5token" + b"\0\0"
         message = b"\4" + len(ticket).to_bytes(3) + ticket
         hop.wire.put(writer.record(DATA, VALUE[:9]) + writer.record(HANDSHAKE, message))
-        turn_until(at.at.loop, lambda: at.streams.sessions.count("tt-07") == 1)
+        run_until(at.at.loop, lambda: at.streams.sessions.count("tt-07") == 1)
         assert first.ended is None
         hop.wire.put(writer.record(DATA, VALUE[9:]))
-        turn_until(at.at.loop, lambda: first.ended is not None)
+        run_until(at.at.loop, lambda: first.ended is not None)
         hop.wire.put(writer.record(HANDSHAKE, message))
         second = at.send()
         hop.command(at, second)
         hop.wire.put(writer.record(DATA, VALUE))
-        turn_until(at.at.loop, lambda: second.ended is not None)
+        run_until(at.at.loop, lambda: second.ended is not None)
         assert [first.ended, second.ended] == [Outcome.OK, Outcome.OK]
         assert at.ends() == []
 
@@ -463,18 +463,18 @@
         room[0] = 10
         stream.write(b"c" * 100)
         whole = 100 + 5 + 1 + 16  # header, type and tag of the record (RFC 8446, 5.2)
-        assert stream.left == whole - 10
+        assert stream.unsent == whole - 10
         assert stream.read() == b""
-        assert (stream.left, len(stream._out)) == (whole - 10, whole - 10 + 5 + 2 + 1 + 16)
+        assert (stream.unsent, len(stream._out)) == (whole - 10, whole - 10 + 5 + 2 + 1 + 16)
         room[0] = whole - 11
         stream.flush()
-        assert stream.left == 1
+        assert stream.unsent == 1
         room[0] = 1
         stream.flush()
-        assert (stream.left, stream.busy) == (0, True)
+        assert (stream.unsent, stream.wants_write) == (0, True)
         room[0] = 1000
         stream.flush()
-        assert (stream.left, stream.busy, len(b"".join(sent))) == (0, False, whole + 24)
+        assert (stream.unsent, stream.wants_write, len(b"".join(sent))) == (0, False, whole + 24)
         stream.sock = socket_before
 
 
@@ -485,7 +485,7 @@
             assert at.ask() is Outcome.OK
             box.mode = Mode()
             # the end has come, and the loop has not seen it yet
-            turn_until(at.at.loop, lambda box=box: box.counts.open == 0)  # type: ignore[misc]
+            run_until(at.at.loop, lambda box=box: box.counts.open == 0)  # type: ignore[misc]
             assert at.ask() is Outcome.OK
             assert box.ran() == {"id1": 1, "id2": 1}
 
@@ -512,7 +512,7 @@
         assert again() == (2, 2)
         assert again() == (2, 3)
         box.forget_sessions(server_context(CERT, newest=newest))
-        held = at.streams.sessions.kept["tt-07"]
+        held = at.streams.sessions.by_hop["tt-07"]
         held[1].appendleft(held[1][-1])  # as another connection would have left one
         before = at.streams.sessions.count("tt-07")
         assert again() == (3, 3)  # declined: a full handshake on the same connection
@@ -531,12 +531,12 @@
     store = Sessions(2, 60.0)
     where = (("127.0.0.1", 1), None, NAME, 1)
     for session in ("a", "b", "c"):
-        store.put("s", where, session, 0.0, 100.0, once=True)
+        store.put("s", where, session, 0.0, 100.0, single_use=True)
     assert store.count("s") == 2
     assert [store.take("s", where, 1.0) for _ in range(3)] == ["c", "b", None]
-    store.put("s", where, "d", 0.0, 10.0, once=True)
+    store.put("s", where, "d", 0.0, 10.0, single_use=True)
     assert store.take("s", where, 10.0) is None  # its life as told
-    store.put("s", where, "e", 0.0, 1e6, once=False)
+    store.put("s", where, "e", 0.0, 1e6, single_use=False)
     assert store.take("s", where, 59.0) == store.take("s", where, 59.0) == "e"
     assert store.take("s", where, 60.0) is None  # and ours at most
     for changed in (
@@ -545,14 +545,14 @@
         (where[0], None, "other", 1),
         (where[0], None, NAME, 2),
     ):
-        store.put("s", where, "f", 0.0, 50.0, once=False)
+        store.put("s", where, "f", 0.0, 50.0, single_use=False)
         assert store.take("s", changed, 1.0) is None
         assert store.count("s") == 0
-    store.put("s", where, "g", 0.0, 50.0, once=False)
+    store.put("s", where, "g", 0.0, 50.0, single_use=False)
     store.forget("s")
     assert store.take("s", where, 1.0) is None
     empty = Sessions(0, 60.0)
-    empty.put("s", where, "h", 0.0, 50.0, once=True)
+    empty.put("s", where, "h", 0.0, 50.0, single_use=True)
     assert empty.count("s") == 0
 
 
@@ -583,9 +583,9 @@
 def test_a_set_is_taken_whole_with_the_days_that_are_left(tmp_path: Path) -> None:
     using = replace(own(tmp_path, AUTHORITY.issue("i.example.org", ends=5 * 86400.0)), warn=14 * 86400.0)
     made = material.load(using, 3)
-    assert (made.generation, made.own) == (3, True)
-    assert made.ends is not None
-    assert 4.9 < (made.ends - datetime.now(UTC)).total_seconds() / 86400 < 5.1
+    assert (made.generation, made.has_client_certificate) == (3, True)
+    assert made.expires_at is not None
+    assert 4.9 < (made.expires_at - datetime.now(UTC)).total_seconds() / 86400 < 5.1
     assert [warning for warning in made.warnings if "ingress.pem: a certificate ends in 5.0 days" in warning]
 
 
@@ -667,16 +667,16 @@
     using = replace(own(tmp_path), watch=0.02)
     with Box(server_context(CERT, clients=AUTHORITY)) as box, rig(box.address, using) as at:
         told: list[int] = []
-        at.streams.changed = told.append
+        at.streams.on_change = told.append
         assert at.ask() is Outcome.OK
         AUTHORITY.write(tmp_path, AUTHORITY.issue("new.example.org"), "other")
         (tmp_path / "other.pem").replace(tmp_path / "ingress.pem")  # the key comes later
-        turn_until(at.at.loop, lambda: any("does not fit" in line for line in at.at.log))
+        run_until(at.at.loop, lambda: any("does not fit" in line for line in at.at.log))
         assert at.streams.generation == 1
         at.drop()
         assert at.ask() is Outcome.OK  # on the set before
         (tmp_path / "other.key").replace(tmp_path / "ingress.key")
-        turn_until(at.at.loop, lambda: at.streams.generation == 2)
+        run_until(at.at.loop, lambda: at.streams.generation == 2)
         assert told == [2]
         assert sum("does not fit" in line for line in at.at.log) == 1  # said once, not at every look
         at.drop()
@@ -741,7 +741,7 @@
         wire = Wire(self.hop.accept()[0], server_context(CERT))
         thread = threading.Thread(target=wire.handshake)
         thread.start()
-        turn_until(self.at.loop, lambda: not thread.is_alive())
+        run_until(self.at.loop, lambda: not thread.is_alive())
         return Peer(wire)
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -38,7 +38,7 @@
 from standflow.upgrade.roles import LIVES, PATIENCE, Role, Seen, Stage
 from tests.test_driver import Played
 from tests.test_ops import PING, VALUE, ask, with_ops
-from tests.wire import LIMIT, Program, command, config, member, program, read_until, turn_until
+from tests.wire import LIMIT, Program, command, config, member, program, read_until, run_until
 from tests.world import Pair, backend, listed, request, sends, started
 
 # Files.
@@ -197,9 +197,9 @@
     part = partial(handover_part, loop, said, tmp_path)
     part("old")
     new = part("new")
-    turn_until(loop, lambda: "new adds 2" in said and "old adds 3" in said)
+    run_until(loop, lambda: "new adds 2" in said and "old adds 3" in said)
     new.closed = True  # it writes no more
-    turn_until(loop, lambda: "old speaks True" in said)
+    run_until(loop, lambda: "old speaks True" in said)
     said.remove("old adds 3")  # at any moment after the new one has begun
     assert [line for line in said if line[:4] in ("old ", "new ")] == [
         *("old begins", "old speaks False", "new lists old", "new absorbs old", "new begins", "new adds 2"),
@@ -216,19 +216,19 @@
     loop, wall = Loop(lambda line: None), time.time
     part = partial(handover_part, loop, said, tmp_path)
     old = part("old")
-    turn_until(loop, lambda: "old begins" in said)
+    run_until(loop, lambda: "old begins" in said)
     monkeypatch.setattr(time, "time", lambda: wall() + step)
     beats = old.written
-    turn_until(loop, lambda: old.written > beats + 2 * BEAT)  # it goes on to say that it lives
+    run_until(loop, lambda: old.written > beats + 2 * BEAT)  # it goes on to say that it lives
     new = part("new")
-    turn_until(loop, lambda: "new adds 2" in said)
+    run_until(loop, lambda: "new adds 2" in said)
     monkeypatch.setattr(time, "time", wall)
     end = time.monotonic() + LIVES + 0.5
-    turn_until(loop, lambda: time.monotonic() > end)
+    run_until(loop, lambda: time.monotonic() > end)
     assert "old resumes" not in said  # the new one lives
     assert said.count("new begins") == 1
     new.closed = True
-    turn_until(loop, lambda: "old speaks True" in said)
+    run_until(loop, lambda: "old speaks True" in said)
     loop.epoll.close()
 
 
@@ -248,7 +248,7 @@
     handover_part(loop, said, tmp_path, "new")
     began = time.monotonic()
     monkeypatch.setattr(time, "time", lambda: wall() - 3600.0)
-    turn_until(loop, lambda: "new begins" in said)
+    run_until(loop, lambda: "new begins" in said)
     assert PATIENCE - 0.1 < time.monotonic() - began < 2 * PATIENCE
     loop.epoll.close()
 
@@ -381,14 +381,14 @@
         hear = [lambda number, content, who=who: got.append((who, content)) for who in ("old", "new")]
         old = Peers(loop, print, ("127.0.0.1", 0), peers, None, 1, hear[0], shared=True)
         sender.sendto(b"1", old.address)
-        turn_until(loop, lambda: len(got) == 1)
+        run_until(loop, lambda: len(got) == 1)
         new = Peers(loop, print, old.address, peers, None, 1, hear[1], shared=True)
         sender.sendto(b"2", old.address)
-        turn_until(loop, lambda: len(got) == 2)
+        run_until(loop, lambda: len(got) == 2)
         loop.end(loop.tasks[new.sock.fileno()])
         new.sock.close()
         sender.sendto(b"3", old.address)
-        turn_until(loop, lambda: len(got) == 3)
+        run_until(loop, lambda: len(got) == 3)
     assert got == [("old", b"1"), ("new", b"2"), ("old", b"3")]
     loop.epoll.close()
 
@@ -538,12 +538,16 @@
     path.write_text(json.dumps(config()))
     loop = Loop(lambda line: None)
     one = Ingress(load_config({"EDGE_CONFIG": f"{path}"}, print), loop, print)
-    whole = (one.next_hops.max_connections, one.next_hops.flows.budget, one.clients.bodies.budget)
+    whole = (one.next_hops.max_connections, one.next_hops.flows.budget, one.clients.body_budget.budget)
     one._crowd(True)
-    half = (one.next_hops.max_connections, one.next_hops.flows.budget, one.clients.bodies.budget)
+    half = (one.next_hops.max_connections, one.next_hops.flows.budget, one.clients.body_budget.budget)
     assert half == tuple(most // 2 for most in whole)
     one._crowd(False)
-    assert whole == (one.next_hops.max_connections, one.next_hops.flows.budget, one.clients.bodies.budget)
+    assert whole == (
+        one.next_hops.max_connections,
+        one.next_hops.flows.budget,
+        one.clients.body_budget.budget,
+    )
     one.close()
     loop.epoll.close()
 
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -65,13 +65,13 @@
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(p), p) for p in parts)
 
 
-def turn_until(loop: Loop, met: Callable[[], object]) -> None:
+def run_until(loop: Loop, met: Callable[[], object]) -> None:
     """Runs rounds of the loop until something is so."""
     end = time.monotonic() + LIMIT
     while not met():
         assert time.monotonic() < end
         loop.call_later(0.002, int)
-        loop.turn()
+        loop.run_once()
 
 
 def read_until(sock: socket.socket, end: bytes) -> bytes:
