--- a/standflow/tls/__init__.py
+++ b/standflow/tls/__init__.py
@@ -1,1 +1,1 @@
-"""TLS towards next hops. Imported only where the operator's file has a block `tls`."""
+"""TLS for connections to next hops. Imported only if the configuration has a `tls` block."""
--- a/standflow/tls/material.py
+++ b/standflow/tls/material.py
@@ -1,7 +1,7 @@
-"""Roots, certificate and key: read from files, checked together, made into what connections use.
+"""TLS material: loads roots, certificate and key from files, checks them together and builds the SSL context.
 
-A set is taken whole or not at all: the key fits the certificate and only its owner can read it, the chain
-leads on without a gap, and nothing of it is expired. A bad set is named with file and reason.
+A set is used as a whole or not at all: the key must match the certificate and be readable only by its owner,
+the chain must have no gap, and nothing may be expired. Errors name the file and the reason.
 """
 
 from __future__ import annotations
@@ -19,33 +19,33 @@
 
 from standflow.config.model import TlsOptions
 
-MAX_FILE = 8 * 1024 * 1024  # bytes; a bundle of all public roots has a quarter of a megabyte
+MAX_FILE = 8 * 1024 * 1024  # bytes; a bundle of all public roots has about 0.25 MB
 Stamp = tuple[tuple[str, int, int, int], ...]
 
 
 class MaterialError(ValueError):
-    """A set that can't be used: FILE: reason."""
+    """A set of files can't be used; the message has the form FILE: reason."""
 
 
 @dataclass(slots=True, frozen=True)
 class Material:
-    """What connections are made with. `ends` is the first end of our own chain, None without one."""
+    """A loaded set. `expires_at` is the earliest expiry in the client chain, if there is one."""
 
     context: ssl.SSLContext
     generation: int
     stamp: Stamp
     expires_at: datetime | None
     warnings: tuple[str, ...]
-    has_client_certificate: bool  # a client certificate is shown
+    has_client_certificate: bool  # a client certificate is configured
 
 
 def files(options: TlsOptions) -> tuple[str, ...]:
-    """The files of a set."""
+    """Returns the paths of a set's files."""
     return tuple(path for path in (options.roots, options.certificate, options.key) if path is not None)
 
 
 def stamp(options: TlsOptions) -> Stamp:
-    """What tells that a file was replaced or written: inode, size, time of change; zeros if it is gone."""
+    """Identifies the files' state by inode, size and modification time; zeros for a missing file."""
     stamps = []
     for path in files(options):
         try:
@@ -58,7 +58,7 @@
 
 
 def load(options: TlsOptions, generation: int, now: datetime | None = None) -> Material:
-    """Reads and checks a set. MaterialError names the file at fault; `now` is UTC, the present by default."""
+    """Loads and checks a set; raises MaterialError. `now` is in UTC and defaults to the current time."""
     now = datetime.now(UTC) if now is None else now
     before = stamp(options)
     warnings: list[str] = []
@@ -90,19 +90,19 @@
         warnings.append(expiry_warning(options.roots, last, now))
     if stamp(options) != before:
         raise MaterialError(f"{options.roots}: the files changed while they were read")
-    own = options.certificate is not None
-    return Material(context, generation, before, ends, tuple(warnings), own)
+    has_client_certificate = options.certificate is not None
+    return Material(context, generation, before, ends, tuple(warnings), has_client_certificate)
 
 
 def expiry_warning(path: str, ends: datetime, now: datetime) -> str:
-    """The warning that a certificate ends soon."""
+    """Returns the warning that a certificate expires soon."""
     days = (ends - now).total_seconds() / 86400
     return f"{path}: a certificate ends in {days:.1f} days, at {ends:%Y-%m-%dT%H:%M:%SZ}"
 
 
 def _context(options: TlsOptions) -> ssl.SSLContext:
-    context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)  # verifies chain and name, no partial wildcards
-    context.hostname_checks_common_name = False  # RFC 9525: the subject's CN proves nothing
+    context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)  # verifies chain and name; no partial wildcards
+    context.hostname_checks_common_name = False  # RFC 9525: the subject's CN must be ignored
     context.verify_flags |= ssl.VERIFY_X509_STRICT
     context.options |= ssl.OP_NO_RENEGOTIATION | ssl.OP_NO_COMPRESSION
     context.minimum_version = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}[options.minimum]
@@ -147,7 +147,7 @@
     last = chain[-1]
     if last.issuer == last.subject or any(_issued(last, root) for root in roots):
         return
-    if len(chain) == 1:  # behind an intermediate the other end may well have a root that we don't trust
+    if len(chain) == 1:  # with intermediates, the peer may know a root that is not among ours
         issuer = last.issuer.rfc4514_string()
         raise MaterialError(f"{path}: the chain is not complete: the certificate of {issuer} is missing")
 
@@ -169,7 +169,7 @@
     try:
         key = load_pem_private_key(data, password=None)
     except TypeError:
-        raise MaterialError(f"{path}: the key is encrypted; nobody is there to be asked") from None
+        raise MaterialError(f"{path}: the key is encrypted, which is not supported") from None
     except ValueError:
         raise MaterialError(f"{path}: no PEM file of a private key") from None
     form = (Encoding.DER, PublicFormat.SubjectPublicKeyInfo)
@@ -178,4 +178,4 @@
 
 
 def _no_password() -> str:
-    raise MaterialError("the key is encrypted; nobody is there to be asked")
+    raise MaterialError("the key is encrypted, which is not supported")
--- a/standflow/tls/names.py
+++ b/standflow/tls/names.py
@@ -1,4 +1,4 @@
-"""Which name a next hop must prove. No I/O."""
+"""Selects the host name that a next hop's certificate must prove. No I/O."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def name_for(options: TlsOptions, hop: str, zone: str, kind: str) -> str | None:
-    """The name that a next hop's certificate must prove, or None: there is none, and it can't be used.
+    """Returns the expected name, or None if there is none and the next hop can't be used.
 
-    The exact table comes first, then the rules in the order of the file. A certificate proves it by a DNS
-    name of its subjectAltName only, where `*` may stand for the whole leftmost label (RFC 9525, 6.3).
+    The exact table is searched first, then the rules in the order of the file. Only a DNS name in the
+    certificate's subjectAltName counts, where `*` may stand for the whole leftmost label (RFC 9525, 6.3).
     """
     exact = options.names.get(hop)
     if exact is not None:
--- a/standflow/tls/reasons.py
+++ b/standflow/tls/reasons.py
@@ -1,4 +1,4 @@
-"""Reason codes for what goes wrong with TLS. No I/O."""
+"""Reason codes of TLS errors. No I/O."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 # X509_V_ERR_* of OpenSSL's x509_vfy.h.
 VERIFY_REASONS = {
     2: "unknown_issuer",
-    18: "unknown_issuer",  # it stands for itself
-    19: "unknown_issuer",  # its chain ends in a root that is not trusted
+    18: "unknown_issuer",  # self-signed
+    19: "unknown_issuer",  # the chain ends in a root that is not trusted
     20: "unknown_issuer",
     21: "unknown_issuer",
     62: "wrong_name",
@@ -56,7 +56,7 @@
 
 
 def reason_of(error: ssl.SSLError) -> str:
-    """The reason code of an error of OpenSSL's, during a handshake or after it."""
+    """Maps an OpenSSL error, during a handshake or later, to its reason code."""
     if isinstance(error, ssl.SSLCertVerificationError):
         return VERIFY_REASONS.get(error.verify_code, f"bad_certificate:{error.verify_code}")
     name = error.reason or ""
--- a/standflow/tls/sessions.py
+++ b/standflow/tls/sessions.py
@@ -1,4 +1,4 @@
-"""The sessions that were taken up with next hops, to be taken up again. No I/O."""
+"""Store of TLS sessions for resumption. No I/O."""
 
 from __future__ import annotations
 
@@ -6,8 +6,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-# What a session is good for: address, start and name of the next hop, and the generation of the material.
-# A session proves only what was proved when it was made, so it serves nothing else.
+# What a session is valid for: address, start time and name of the next hop, and the generation of the
+# material. A session proves only what was verified at its full handshake, so it must not be used for anything
+# else.
 Identity = tuple[tuple[str, int], float | None, str, int]
 
 
@@ -19,7 +20,7 @@
 
 
 class Sessions:
-    """A bounded store for each next hop; the newest is used first."""
+    """A bounded store per next hop; the newest session is used first."""
 
     def __init__(self, limit: int, max_lifetime: float) -> None:
         self.limit, self.max_lifetime = limit, max_lifetime
@@ -28,40 +29,40 @@
     def put(
         self, hop: str, identity: Identity, session: Any, now: float, lifetime: float, single_use: bool
     ) -> None:
-        """Keeps a session for `lifetime` seconds at most; `single_use` is set for TLS 1.3 tickets."""
+        """Stores a session for at most `lifetime` seconds; `single_use` is set for TLS 1.3 tickets."""
         if self.limit <= 0 or lifetime <= 0:
             return
-        held = self.by_hop.get(hop)
-        if held is None or held[0] != identity:
-            held = self.by_hop[hop] = (identity, deque(maxlen=self.limit))
-        held[1].append(_StoredSession(session, now + min(lifetime, self.max_lifetime), single_use))
+        entry = self.by_hop.get(hop)
+        if entry is None or entry[0] != identity:
+            entry = self.by_hop[hop] = (identity, deque(maxlen=self.limit))
+        entry[1].append(_StoredSession(session, now + min(lifetime, self.max_lifetime), single_use))
 
     def take(self, hop: str, identity: Identity, now: float) -> Any | None:
-        """A session for a new connection, or None; one that is used once is gone from here."""
-        held = self.by_hop.get(hop)
-        if held is None:
+        """Returns a session for a new connection, or None. A single-use session is removed."""
+        entry = self.by_hop.get(hop)
+        if entry is None:
             return None
-        if held[0] != identity:
+        if entry[0] != identity:
             del self.by_hop[hop]
             return None
-        while held[1]:
-            kept = held[1].pop()
-            if kept.expires_at > now:
-                if not kept.single_use:
-                    held[1].append(kept)
-                return kept.session
+        while entry[1]:
+            stored = entry[1].pop()
+            if stored.expires_at > now:
+                if not stored.single_use:
+                    entry[1].append(stored)
+                return stored.session
         del self.by_hop[hop]
         return None
 
     def forget(self, hop: str) -> None:
-        """The next hop is gone, has started anew or declined one: what is kept is worth nothing."""
+        """Drops all sessions of a next hop that is gone, was restarted or declined one."""
         self.by_hop.pop(hop, None)
 
     def clear(self) -> None:
-        """Roots or the client's certificate have changed."""
+        """Drops everything, after a change of the roots or the client certificate."""
         self.by_hop.clear()
 
     def count(self, hop: str) -> int:
-        """How many are kept for a next hop."""
-        held = self.by_hop.get(hop)
-        return 0 if held is None else len(held[1])
+        """Returns the number of sessions stored for a next hop."""
+        entry = self.by_hop.get(hop)
+        return 0 if entry is None else len(entry[1])
--- a/standflow/tls/stream.py
+++ b/standflow/tls/stream.py
@@ -1,7 +1,7 @@
-"""One connection in TLS: OpenSSL between two memory buffers, the socket's bytes passed by hand.
+"""TLS stream of one connection: OpenSSL works on two memory buffers, and this module does the socket I/O.
 
-Outcomes are decided by bytes, and a command is whole when the last byte of its ciphertext is written to the
-socket. What OpenSSL has to say of its own (a key update, an alert, the end of its handshake) never counts.
+A command counts as fully written when the last byte of its ciphertext is written to the socket. Bytes that
+OpenSSL sends by itself (a key update, an alert, the end of the handshake) are not part of it.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from standflow.net.stream import READ_SIZE, Handshake
 from standflow.tls.reasons import reason_of
 
-CHUNK = 65536  # plain bytes given to OpenSSL, and taken from it, at once
+CHUNK = 65536  # plaintext bytes passed to or from OpenSSL in one call
 MAX_CONFIRM_WAIT = 0.1  # seconds
 
 
 class TlsStream:
-    """See net.stream.Stream; made before the handshake, for one name that the other end must prove."""
+    """See net.stream.Stream. It is created before the handshake, for one name that the server must prove."""
 
     __slots__ = (
         "_done", "_loop", "_message_unsent", "_obj", "_on_declined", "_on_handshake", "_on_session", "_out",
@@ -53,9 +53,9 @@
         self._on_session, self._on_declined, self._on_handshake = on_session, on_declined, on_handshake
         self._raw_in, self._raw_out = ssl.MemoryBIO(), ssl.MemoryBIO()
         self._obj = context.wrap_bio(self._raw_in, self._raw_out, server_hostname=name, session=session)
-        self._out = memoryview(b"")  # ciphertext that is not written yet
-        self._message_unsent = 0  # bytes of it up to the last one of the message
-        self._plain: list[memoryview] = []  # what of a long message is not encrypted yet
+        self._out = memoryview(b"")  # unsent ciphertext
+        self._message_unsent = 0  # bytes of it up to the end of the message
+        self._plain: list[memoryview] = []  # the part of a long message that is not encrypted yet
         self.unsent = 0
         self.wants_write = False
         self.end_reason = ""
@@ -66,7 +66,7 @@
     # The handshake.
 
     def open(self) -> Coroutine[str]:
-        """The handshake; nothing of a request is written before it has proved the name."""
+        """Does the handshake; no byte of a request is written before the name is verified."""
         reason = "given_up"
         try:
             reason = yield from self._open()
@@ -93,7 +93,7 @@
                 self._collect()
                 if self._done:
                     break
-                asked = loop.now()
+                waiting_since = loop.now()
                 data = yield from self._receive(end)
             except OSError as error:
                 return "cut_off" if isinstance(error, ConnectionError) else error_reason(error)
@@ -102,8 +102,8 @@
             if not data:
                 return "cut_off"
             if first:
-                stats.round_trip = loop.now() - asked
-            stats.wait_seconds += loop.now() - asked
+                stats.round_trip = loop.now() - waiting_since
+            stats.wait_seconds += loop.now() - waiting_since
             first = False
             self._raw_in.write(data)
         stats.resumed = bool(self._obj.session_reused)
@@ -115,7 +115,7 @@
         return ""
 
     def _receive(self, end: float) -> Coroutine[bytes | None]:
-        """What comes next; None when the time is up."""
+        """Receives the next bytes; None when the time is up."""
         while True:
             try:
                 return self.sock.recv(READ_SIZE)
@@ -129,12 +129,14 @@
                 self.flush()
 
     def _await_confirmation(self, limit: float) -> Coroutine[str]:
-        """The other end's word on our certificate, or on our having none: TLS 1.3 has it come after our side.
+        """Waits for the server's verdict on the client certificate, or on its absence.
 
-        A ticket says yes, an alert no; silence is taken for yes.
+        In TLS 1.3 the server checks it after the client's side of the handshake is done. A session ticket
+        means that it was accepted, an alert that it was rejected; no message until `limit` counts as
+        accepted.
 
-        Without this wait the first command would be written whole before the alert is read, and a change that
-        never ran would count as one that may have.
+        Without this wait the first command would be fully written before the alert is read, and an unsafe
+        request that was never run would count as one that may have been.
         """
         end = self._loop.now() + limit
         while not self._stored_session:
@@ -159,8 +161,8 @@
     # Bytes.
 
     def write(self, *parts: bytes) -> None:
-        """See Stream. A long message is encrypted piece by piece, as the socket takes it: whoever wrote it
-        keeps it for a retry, and it must not lie in memory twice.
+        """See Stream. A long message is encrypted in pieces as the socket takes them: the caller keeps the
+        message for a retry, and a second complete copy would double the memory use.
         """
         if sum(map(len, parts)) <= CHUNK:
             for part in parts:
@@ -195,18 +197,18 @@
                 del self._plain[0]
 
     def _send(self) -> None:
-        """One call of the socket: where the first fails, nothing of the message has left this machine."""
+        """Makes a single send call: if the first one fails, no byte of the message has left this machine."""
         try:
             taken = self.sock.send(self._out)
         except BlockingIOError:
             taken = 0
-        self._out = self._out[taken:]  # a view: what is left is not copied at each write
+        self._out = self._out[taken:]  # a view, so that the rest is not copied at each write
         self._message_unsent = max(0, self._message_unsent - taken)
         self.unsent = self._message_unsent + sum(map(len, self._plain))
         self.wants_write = self.unsent > 0
 
     def _collect(self) -> None:
-        """Takes what OpenSSL has to say of its own; it goes behind what is waiting."""
+        """Appends bytes that OpenSSL sends by itself to the unsent ciphertext."""
         if self._raw_out.pending:
             self._out = memoryview(bytes(self._out) + self._raw_out.read())
             self.flush()
@@ -223,13 +225,13 @@
         return self._decrypt(data)
 
     def _decrypt(self, data: bytes) -> bytes:
-        """What a record or a part of one holds; how the stream ended is noted behind what came before."""
+        """Decrypts received bytes. If the stream ends in them, `end_reason` is set as well."""
         raw = self._raw_in
         raw.write(data)
         plain = b""
         try:
-            # With nothing left in front of OpenSSL there is nothing whole behind what it gave: asking once
-            # more would only raise, which costs more than the record itself.
+            # Once OpenSSL has consumed all input, no complete record is left: another read would only raise
+            # SSLWantReadError, which costs more than the record itself.
             while True:
                 more = self._obj.read(CHUNK)
                 if not more:
@@ -245,14 +247,14 @@
         except ssl.SSLError as error:
             self.end_reason = reason_of(error)
         if self._raw_out.pending:
-            with contextlib.suppress(OSError):  # the socket's own end is read where it comes up
+            with contextlib.suppress(OSError):  # an error of the socket shows at the next read
                 self._collect()
         if self._stored_session is None:
             self._store_session()
         return plain
 
     def usable(self) -> bool:
-        """See Stream: tickets and key updates may lie here unread, which is no reason to give it up."""
+        """See Stream. Unread session tickets and key updates don't make the stream unusable."""
         try:
             data = self.sock.recv(READ_SIZE)
         except BlockingIOError:
@@ -262,17 +264,21 @@
         return bool(data) and not self._decrypt(data) and not self.end_reason
 
     def _store_session(self) -> None:
-        """Keeps the session as soon as it can be taken up again."""
+        """Stores the session as soon as it can be resumed."""
         session = self._obj.session
         if session is None or self.end_reason:
             return
-        once = self._obj.version() == "TLSv1.3"
-        if (session.has_ticket or not once) and session != self._stored_session and session != self._session:
+        single_use = self._obj.version() == "TLSv1.3"
+        if (
+            (session.has_ticket or not single_use)
+            and session != self._stored_session
+            and session != self._session
+        ):
             self._stored_session = session
-            self._on_session(session, once)
+            self._on_session(session, single_use)
 
     def close(self) -> None:
-        """close_notify, where nothing of a message would be cut by it."""
+        """Sends close_notify, unless that would cut off a message."""
         if self._done and not self.unsent and self.end_reason in ("", "peer_closed"):
             with contextlib.suppress(ssl.SSLError, OSError):
                 self._obj.unwrap()
@@ -280,7 +286,7 @@
                 self._collect()
 
     def log_suffix(self) -> str:
-        """Version, whether a session was taken up again, and this end's processor time."""
+        """TLS version, whether a session was resumed, and the processor time of the handshake."""
         if not self._done:
             return f" name={self.name}"
         version, stats = self._obj.version() or "", self.handshake
--- a/standflow/tls/streams.py
+++ b/standflow/tls/streams.py
@@ -1,4 +1,4 @@
-"""Makes a stream in TLS for each connection to a next hop; material and sessions are what they share."""
+"""Creates the TLS streams of connections to next hops, which share TLS material and sessions."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from standflow.tls.sessions import Identity, Sessions
 from standflow.tls.stream import TlsStream
 
-WARN_INTERVAL = 86400.0  # seconds between two warnings of the same end
-COUNT_INTERVAL = 60.0  # seconds between lines of the log with the counts, where they have changed
-DISABLED_WATCH_INTERVAL = 60.0  # seconds between looks at whether a reload has switched the watch on
+WARN_INTERVAL = 86400.0  # seconds between warnings of the same expiry
+COUNT_INTERVAL = 60.0  # seconds between log lines with the counts, if they have changed
+DISABLED_WATCH_INTERVAL = 60.0  # seconds between checks of whether a reload has enabled the file watch
 
 
 class UnnamedStream(PlainStream):
-    """A next hop that no rule has a name for: nothing is ever written to it."""
+    """Stream to a next hop without an expected name: it can't be opened, so nothing is ever written to it."""
 
     def open(self) -> Coroutine[str]:
         """Fails at once."""
@@ -32,16 +32,16 @@
 
 
 class TlsStreams:
-    """The streams' maker."""
+    """Creates streams, reloads TLS material and counts handshakes."""
 
     def __init__(self, loop: Loop, log: Callable[[str], None], options: TlsOptions) -> None:
-        """MaterialError where the files can't be used. `changed` is told each further generation."""
+        """Raises MaterialError on unusable files. `on_change` is called with each later generation."""
         self.loop, self.log, self.options = loop, log, options
         self.on_change: Callable[[int], None] = lambda generation: None
         self.material: Material = material.load(options, 1)
         self.sessions = Sessions(options.sessions, options.session_life)
         self.full = self.resumed = self.failed = self.declined = 0
-        self._last_error: tuple[str, material.Stamp] | None = None  # what was complained of last
+        self._last_error: tuple[str, material.Stamp] | None = None  # logged error and files
         self._last_stamp = self.material.stamp
         self._logged_counts = ""
         self._log_loaded(self.material)
@@ -51,13 +51,13 @@
 
     @property
     def generation(self) -> int:
-        """Counts the sets of material taken into use."""
+        """Number of the current set of TLS material."""
         return self.material.generation
 
     # Streams.
 
     def make(self, route: Route, sock: socket.socket) -> Stream:
-        """The stream of a new connection to a next hop, with a session to take up where there is one."""
+        """Creates the stream of a new connection to a next hop, with a session to resume if there is one."""
         name = name_for(self.options, route.hop, route.zone, route.kind)
         if name is None:
             self.log(f"tls: no rule names next hop {route.hop} ({route.zone}, {route.kind})")
@@ -72,7 +72,7 @@
 
         def declined() -> None:
             self.declined += 1
-            self.sessions.forget(route.hop)  # it has lost them all, most likely by a restart
+            self.sessions.forget(route.hop)  # it has most likely lost all of them in a restart
 
         def up(stream: TlsStream, reason: str) -> None:
             self._handshake_ended(route, stream, reason)
@@ -91,11 +91,11 @@
         )
 
     def resumable(self, route: Route) -> bool:
-        """True where a session is kept for a next hop."""
+        """True if a session is stored for a next hop."""
         return self.sessions.count(route.hop) > 0
 
     def forget(self, hop: str) -> None:
-        """A next hop is gone, or another process answers for it."""
+        """Drops the sessions of a next hop that is gone or was restarted."""
         self.sessions.forget(hop)
 
     def _identity(self, route: Route, name: str) -> Identity:
@@ -106,7 +106,7 @@
             return
         if reason:
             self.failed += 1
-            self.sessions.forget(route.hop)  # what it was offered may be why
+            self.sessions.forget(route.hop)  # the offered session may be the cause
         elif stream.handshake.resumed:
             self.resumed += 1
         else:
@@ -115,7 +115,7 @@
     # Material.
 
     def reload(self, options: TlsOptions) -> None:
-        """SIGHUP: other options and whatever the files hold now; a bad set changes nothing."""
+        """Applies new options and rereads the files (on SIGHUP). A bad set changes nothing."""
         names_before = (self.options.names, self.options.rules)
         try:
             self._take(options)
@@ -140,12 +140,12 @@
             self.log(f"tls: {warning}")
 
     def _watch(self) -> None:
-        """Looks at the files; a set is read once it kept still for a look, as two files change in turn."""
+        """Reloads changed files once they are unchanged between two checks: files are replaced one by one."""
         if not self.options.watch:
             return
         found = material.stamp(self.options)
-        still, self._last_stamp = found == self._last_stamp, found
-        if found == self.material.stamp or not still:
+        unchanged, self._last_stamp = found == self._last_stamp, found
+        if found == self.material.stamp or not unchanged:
             return
         try:
             self._take(self.options)
@@ -155,7 +155,7 @@
                 self.log(f"tls: {error}; the set before stays in use")
 
     def counts(self) -> str:
-        """Handshakes so far: full, resumed, and the share of these in all; failed; sessions declined."""
+        """Handshakes so far: full, resumed, the share of resumed ones, failed, and declined sessions."""
         done = self.full + self.resumed
         share = self.resumed / done if done else 0.0
         return (
@@ -164,7 +164,7 @@
         )
 
     def log_counts(self) -> None:
-        """A line of the log, unless it would say the same again."""
+        """Logs the counts if they have changed."""
         if (counts := self.counts()) != self._logged_counts:
             self._logged_counts = counts
             self.log(f"tls: handshakes {counts}")
