--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -1,4 +1,4 @@
-"""A client that closes its connection has gone: nothing of its requests is begun from then on."""
+"""Once a client has closed its connection, no new work starts for its requests."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from tests.test_endings import Wired, known
 from tests.wire import command, config, listener, run_until
 
-FEW_ROUNDS = 5  # of the loop, in which a close is noticed: by events, never by a timer
+FEW_ITERATIONS = 5  # of the loop, within which a close is noticed: by events, not by a timer
 HOUR = 3600_000
 
 
 def reset(client: socket.socket) -> None:
-    """Closes by a reset."""
+    """Closes with a reset."""
     client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     client.close()
 
@@ -33,19 +33,19 @@
 CLOSES: dict[str, Callable[[socket.socket], None]] = {"closes": socket.socket.close, "resets": reset}
 
 
-def noticed(loop: Loop, met: Callable[[], object]) -> None:
-    """The loop hears of it at once, with no timer of its own to wake it."""
-    end = loop.iteration + FEW_ROUNDS
+def run_until_noticed(loop: Loop, met: Callable[[], object]) -> None:
+    """Runs a few loop iterations, without timers, until the condition is met."""
+    end = loop.iteration + FEW_ITERATIONS
     while not met():
         assert loop.iteration < end
         loop.run_once()
 
 
 @pytest.mark.parametrize("leaves", CLOSES.values(), ids=CLOSES)
-def test_no_retry_begins_after_the_client_has_left_in_the_pause_before_it(
+def test_no_retry_starts_after_the_client_has_closed(
     leaves: Callable[[socket.socket], None],
 ) -> None:
-    """The decision module asks for it all the same, as one would that has not heard yet."""
+    """The decision module still asks for a retry, as if it had not been notified yet."""
     with listener() as hop:
         wired = Wired(hop.getsockname(), cool_down=0.0)
         client = wired.ask("aa01")
@@ -55,7 +55,7 @@
         at_backend.sendall(b"-BUSY\r\n")
         run_until(wired.at.loop, lambda: wired.at.ended)
         leaves(client)
-        noticed(wired.at.loop, lambda: wired.at.gone)
+        run_until_noticed(wired.at.loop, lambda: wired.at.gone)
         assert wired.at.exchange.send(name, "s-1", None) is None
         wired.at.loop.call_later(0.0, int)
         wired.at.loop.run_once()
@@ -65,7 +65,7 @@
         wired.at.close()
 
 
-def test_no_second_copy_begins_beside_an_attempt_that_is_still_out() -> None:
+def test_no_second_copy_starts_after_the_client_has_closed() -> None:
     with listener() as hop:
         wired = Wired(hop.getsockname())
         client = wired.ask("aa01")
@@ -73,7 +73,7 @@
         wired.send()
         at_backend = wired.accept(hop)
         client.close()
-        noticed(wired.at.loop, lambda: wired.at.gone)
+        run_until_noticed(wired.at.loop, lambda: wired.at.gone)
         wired.at.exchange.send(name, "s-1", None)
         assert [outcome for _, outcome in wired.at.ended] == [Outcome.MOOT]
         assert not select.select([hop], [], [], 0)[0]
@@ -81,8 +81,8 @@
         wired.at.close()
 
 
-def test_the_timers_of_the_real_module_send_nothing_for_a_client_that_has_left() -> None:
-    """A further attempt is due when the first one, at a backend that hangs, has had its time."""
+def test_module_timers_send_nothing_for_a_closed_client() -> None:
+    """The first attempt is at a hanging backend, so a second one is scheduled."""
     with listener() as hop:
         log: list[str] = []
         loop = Loop(log.append)
@@ -110,8 +110,8 @@
 # Connections that are not being read.
 
 
-class Unread:
-    """A client with an open request, on a connection whose reading pauses."""
+class PausedClient:
+    """A client with an open request, on a connection whose reading is paused."""
 
     def __init__(self) -> None:
         self.at = Recorder()
@@ -123,7 +123,7 @@
         self.client = self.connect(b"")
 
     def connect(self, sent: bytes) -> socket.socket:
-        """A client that has sent something."""
+        """Connects a client and sends data."""
         client = socket.socket()
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.connect(self.side.address)
@@ -134,18 +134,18 @@
         return client
 
     def ask(self, *idents: str) -> None:
-        """The client's requests, taken in."""
+        """Sends requests and waits until they are opened."""
         self.client.sendall(b"".join(command(ident, d=HOUR // 10) for ident in idents))
         run_until(self.at.loop, lambda: len(self.at.opened) == len(idents))
 
     def pipelined(self) -> None:
-        """So many requests that further ones wait in the kernel, or in the ingress."""
+        """Sends so many requests that some wait in the kernel or in the connection's buffer."""
         many = [f"aa{number:02x}" for number in range(MAX_PIPELINED + 20)]
         self.client.sendall(b"".join(command(ident, d=HOUR // 10) for ident in many))
         run_until(self.at.loop, lambda: len(self.at.opened) == MAX_PIPELINED)
 
     def slow_reader(self) -> None:
-        """Answers that the client does not take."""
+        """Leaves large answers unread by the client."""
         connection = next(iter(self.side.connections))
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         self.ask("aa01", "aa02")
@@ -155,12 +155,12 @@
         assert len(connection.unsent) > PAUSE_UNSENT
 
     def draining(self) -> None:
-        """The connection takes no more requests."""
+        """Drains the connection, so that it takes no more requests."""
         self.ask("aa01")
         self.side._drain_connection(next(iter(self.side.connections)))
 
     def long_body(self) -> None:
-        """A long body behind the request waits for room."""
+        """Makes a long body behind the request wait for memory."""
         size = resp.MAX_VALUE + 1000
         head = command("bb01", body=b"x" * size)[: -size // 2]
         self.connect(head)
@@ -170,38 +170,38 @@
         run_until(self.at.loop, lambda: self.side.body_budget.waiting)
 
     def close(self) -> None:
-        """All ends."""
+        """Closes the clients and the loop."""
         for client in self.others:
             client.close()
         self.at.close()
 
 
 PAUSES = {
-    "pipelined": Unread.pipelined,
-    "slow_reader": Unread.slow_reader,
-    "draining": Unread.draining,
-    "long_body": Unread.long_body,
+    "pipelined": PausedClient.pipelined,
+    "slow_reader": PausedClient.slow_reader,
+    "draining": PausedClient.draining,
+    "long_body": PausedClient.long_body,
 }
 
 
 @pytest.mark.parametrize("leaves", CLOSES.values(), ids=CLOSES)
 @pytest.mark.parametrize("pauses", PAUSES.values(), ids=PAUSES)
-def test_a_close_is_noticed_where_the_connection_is_not_being_read(
-    pauses: Callable[[Unread], None], leaves: Callable[[socket.socket], None]
+def test_client_close_is_noticed_while_reading_is_paused(
+    pauses: Callable[[PausedClient], None], leaves: Callable[[socket.socket], None]
 ) -> None:
-    one = Unread()
+    one = PausedClient()
     pauses(one)
     opened = [transaction for transaction in one.at.opened if transaction.open]
     leaves(one.client)
-    noticed(one.at.loop, lambda: len(one.at.gone) == len(opened))
+    run_until_noticed(one.at.loop, lambda: len(one.at.gone) == len(opened))
     assert one.at.gone == opened
     assert one.at.exchange.open_count <= len(one.at.opened) - len(opened)
     one.close()
 
 
 @pytest.mark.parametrize("looks", ["the cap", "a drain", "the sweep of a drain"])
-def test_a_request_sent_and_closed_is_not_opened_by_a_look_at_its_connection(looks: str) -> None:
-    """What lies unread is taken before a connection is judged; the close lies behind it."""
+def test_request_of_a_closed_client_is_not_opened_by_eviction_or_drain(looks: str) -> None:
+    """PausedClient bytes are read before a connection is ended; here the client's close follows them."""
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 10)
     side.start_serving()
@@ -225,16 +225,16 @@
     at.close()
 
 
-def test_a_close_is_heard_before_what_comes_up_in_the_same_round() -> None:
-    """The loop may be late: what is begun first would be begun long after the close."""
+def test_client_close_is_handled_before_other_events_of_the_same_iteration() -> None:
+    """With a late loop, work handled before the close would start long after it."""
     with listener() as hop:
         wired = Wired(hop.getsockname())
         client = wired.ask("aa01")
         wired.at.loop.call_later(0.0, int)
-        wired.at.loop.run_once()  # else the client's connection, which was ready last, would be told first
-        wired.send()  # the connection is up by now, and the loop has not heard of it
+        wired.at.loop.run_once()  # otherwise the client, which became ready last, would be handled first
+        wired.send()  # the connection is established, but the loop has not seen it yet
         client.close()
-        noticed(wired.at.loop, lambda: wired.at.gone)
+        run_until_noticed(wired.at.loop, lambda: wired.at.gone)
         wired.at.loop.run_once()
         assert wired.at.exchange.transactions == {}
         assert wired.hops.forwards == 0
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections against models of their states, by random steps on real sockets."""
+"""Stateful tests of client and next-hop connections with random steps on real sockets."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class Recorder:
-    """Stands where the driver and the other side would be, and notes what it is told."""
+    """Replaces the driver and the opposite side, and records the calls."""
 
     def __init__(self) -> None:
         self.log: list[str] = []
@@ -72,58 +72,58 @@
 
 
 class ClientConnectionModel(RuleBasedStateMachine):
-    """A connection owes its answers in the order of its commands; the model is the queue of what is owed."""
+    """Answers are sent in the order of the commands; the model is the queue of expected answers."""
 
     @initialize()
     def start(self) -> None:
         self.at = Recorder()
         self.side = ClientSide(self.at.loop, self.at.log.append, self.at.exchange, ("127.0.0.1", 0), 10)
         self.side.ready = True
-        self.caller = socket.create_connection(self.side.address)
+        self.client = socket.create_connection(self.side.address)
         run_until(self.at.loop, lambda: len(self.side.connections) == 1)
-        self.owed: deque[list[bytes | None]] = deque()  # one cell an answer, in order
+        self.expected_answers: deque[list[bytes | None]] = deque()  # one cell per answer, in order
         self.open: list[tuple[Transaction, list[bytes | None]]] = []
         self.serial = 0
 
-    def flushed(self) -> None:
+    def read_answers(self) -> None:
         due = b""
-        while self.owed and self.owed[0][0] is not None:
-            due += self.owed.popleft()[0] or b""
+        while self.expected_answers and self.expected_answers[0][0] is not None:
+            due += self.expected_answers.popleft()[0] or b""
         if due:
-            self.caller.setblocking(False)
+            self.client.setblocking(False)
             got = bytearray()
 
             def read() -> bool:
                 try:
-                    got.extend(self.caller.recv(65536))
+                    got.extend(self.client.recv(65536))
                 except BlockingIOError:
                     return False
                 return len(got) >= len(due)
 
             run_until(self.at.loop, read)
-            self.caller.setblocking(True)
+            self.client.setblocking(True)
             assert bytes(got) == due
-            self.left()
+            self.check_drain()
 
-    @precondition(lambda self: len(self.owed) < 40)
+    @precondition(lambda self: len(self.expected_answers) < 40)
     @rule(cut=st.integers(1, 60))
     def ask(self, cut: int) -> None:
         self.serial += 1
         text = command(f"{self.serial:04x}")
-        self.caller.sendall(text[:cut])
+        self.client.sendall(text[:cut])
         self.at.loop.call_later(0, int)
         self.at.loop.run_once()
-        self.caller.sendall(text[cut:])
+        self.client.sendall(text[cut:])
         run_until(self.at.loop, lambda: len(self.at.opened) == self.serial)
         cell: list[bytes | None] = [None]
-        self.owed.append(cell)
+        self.expected_answers.append(cell)
         self.open.append((self.at.opened[-1], cell))
 
     @rule()
-    def bad(self) -> None:
-        self.caller.sendall(b"*1\r\n$4\r\nNOPE\r\n")
-        self.owed.append([b"-ERR unknown command\r\n"])
-        self.flushed()
+    def unknown_command(self) -> None:
+        self.client.sendall(b"*1\r\n$4\r\nNOPE\r\n")
+        self.expected_answers.append([b"-ERR unknown command\r\n"])
+        self.read_answers()
 
     @precondition(lambda self: self.open)
     @rule(which=st.integers(0, 1000), what=st.sampled_from(["refuse", "fail"]))
@@ -135,33 +135,33 @@
         else:
             self.at.exchange.fail(transaction.name)
             cell[0] = b"-ERR failed\r\n"
-        self.flushed()
+        self.read_answers()
 
     @rule()
     def evacuate(self) -> None:
         self.side.evacuate(True, 1.0)
-        self.left()
+        self.check_drain()
 
     @rule()
     def rejoin(self) -> None:
         self.side.evacuate(False, 2.0)
         assert self.side.pong() == resp.PONG
 
-    def left(self) -> None:
-        """A connection of an emptied ingress ends with the answer that leaves nothing open on it."""
+    def check_drain(self) -> None:
+        """A connection of an evacuated ingress ends with the answer after which it has no open request."""
         if not self.side.draining or self.open or not next(iter(self.side.connections)).answered:
             return
         assert self.side.pong().startswith(b"-ERR")
-        run_until(self.at.loop, self.gone)
+        run_until(self.at.loop, self.client_saw_end)
         self.at.log.clear()
-        self.caller = socket.create_connection(self.side.address)
+        self.client = socket.create_connection(self.side.address)
         run_until(self.at.loop, lambda: len(self.side.connections) == 1)
 
-    def gone(self) -> bool:
-        """The caller sees the end, and closes as well."""
-        if select.select([self.caller], [], [], 0)[0]:
-            assert self.caller.recv(10) == b""
-            self.caller.close()
+    def client_saw_end(self) -> bool:
+        """The client sees the end and closes as well."""
+        if select.select([self.client], [], [], 0)[0]:
+            assert self.client.recv(10) == b""
+            self.client.close()
             run_until(self.at.loop, lambda: not self.side.connections)
             return True
         return False
@@ -174,16 +174,16 @@
 
     def teardown(self) -> None:
         if hasattr(self, "at"):
-            self.caller.close()
+            self.client.close()
             run_until(self.at.loop, lambda: not self.side.connections)
-            # each transaction still open hears that its caller has left, and the connection leaves one line
+            # each open transaction is notified that its client has gone, and the connection logs one line
             assert self.at.gone == [transaction for transaction, _ in self.open]
             assert sum(line.startswith("end caller") for line in self.at.log) == 1
             self.at.close()
 
 
 class NextHopModel(RuleBasedStateMachine):
-    """A connection is busy, idle or ended; the model says which, and how each branch must end."""
+    """A connection is busy, idle or ended; the model tracks this and the expected outcome of each branch."""
 
     @initialize()
     def start(self) -> None:
@@ -191,9 +191,9 @@
         self.hop = listener()
         self.side = self.make_side()
         self.at.exchange.next_hops = self.side
-        self.tell(Phase.SERVING)
+        self.set_phase(Phase.SERVING)
         self.busy: list[tuple[Branch, Any]] = []
-        self.idle: list[Any] = []  # at the hop's end, the one used last is last
+        self.idle: list[Any] = []  # the next hop's sockets, most recently used last
         self.expected: dict[Branch, Outcome] = {}
         self.ends = 0
 
@@ -201,10 +201,10 @@
         return NextHops(self.at.loop, self.at.log.append, self.at.exchange, 60.0, 600.0, 60.0, 10)
 
     def accepted(self) -> Any:
-        """The next hop's end of a connection that was just dialled."""
+        """Accepts a connection that was just dialled."""
         return self.hop.accept()[0]
 
-    def tell(self, phase: Phase) -> None:
+    def set_phase(self, phase: Phase) -> None:
         route = Route("s-1", self.hop.getsockname()[:2], "z1", "std", 0, phase, 1.0, None)
         self.side.update_routes(RouteSet(1, True, (route,)))
         self.serving = phase is Phase.SERVING
@@ -221,7 +221,7 @@
     def begin(self) -> None:
         branch = self.send()
         if self.idle:
-            sock = self.idle.pop()  # the latest is used again
+            sock = self.idle.pop()  # the most recently used one is reused
         else:
             sock = self.accepted()
             sock.settimeout(20)
@@ -237,7 +237,7 @@
                 (b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", Outcome.OK, True),
                 (b"-BUSY\r\n", Outcome.FULL, True),
                 (b"-ERR failed\r\n", Outcome.ERROR, True),
-                (b"*0\r\n", Outcome.ERROR, False),  # spoilt: a failed branch, and the end of its connection
+                (b"*0\r\n", Outcome.ERROR, False),  # unreadable: the branch fails and its connection ends
                 (b":5\r\n", Outcome.ERROR, False),
                 (b"what\r\n", Outcome.ERROR, False),
                 (b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n*3\r\n$1\r\n", Outcome.OK, False),
@@ -263,7 +263,7 @@
     def cancel(self, which: int) -> None:
         branch, sock = self.busy.pop(which % len(self.busy))
         self.at.exchange.cancel(branch.transaction.name, branch.number)
-        assert sock.recv(1) == b""  # giving up closes, so that the hop can stop working
+        assert sock.recv(1) == b""  # closed, so that the next hop can stop working
         sock.close()
         self.ends += 1
         self.expected[branch] = Outcome.CANCELLED
@@ -271,7 +271,7 @@
     @precondition(lambda self: self.idle)
     @rule(noticed=st.booleans())
     def hop_closes_idle(self, noticed: bool) -> None:
-        """Noticed by the poll or only before the next write: no command may go there."""
+        """Whether the close is noticed by the poll or before the next write, no command may be sent."""
         self.idle.pop().close()
         self.ends += 1
         if noticed:
@@ -280,8 +280,8 @@
             self.begin()
 
     @rule(phase=st.sampled_from([Phase.SERVING, Phase.DRAINING]))
-    def told(self, phase: Phase) -> None:
-        self.tell(phase)
+    def change_phase(self, phase: Phase) -> None:
+        self.set_phase(phase)
         if not self.serving:
             self.ends += len(self.idle)
             for sock in self.idle:
@@ -313,7 +313,7 @@
 TestNextHop.settings = STEPS
 
 
-def test_a_hop_that_never_comes_up_or_refuses_is_a_failed_connect() -> None:
+def test_unknown_or_refusing_next_hop_is_a_failed_connect() -> None:
     at, hop = Recorder(), listener()
     side = NextHops(at.loop, at.log.append, at.exchange, 0.01, 5.0, 60.0, 10)
     at.exchange.next_hops = side
@@ -325,7 +325,7 @@
     transaction = at.exchange.open(request, at.loop.now(), finals.append)
     for name in ("s-1", "s-unheard"):
         at.exchange.send(transaction.name, name, None)
-    assert at.ended == []  # an outcome never comes within the call that asked for it
+    assert at.ended == []  # an outcome is never reported within the call that sent the branch
     run_until(at.loop, lambda: len(at.ended) == 2)
     assert [outcome for _, outcome in at.ended] == [Outcome.CONNECT_FAILED] * 2
     at.exchange.refuse(transaction.name, None)
@@ -333,7 +333,7 @@
     at.close()
 
 
-def test_past_the_grace_an_unsent_branch_is_ended_and_never_sent() -> None:
+def test_unsent_branch_ends_with_the_drain_grace() -> None:
     at = Recorder()
     with socket.socket() as hop:
         hop.bind(("127.0.0.1", 0))
@@ -358,7 +358,7 @@
     at.close()
 
 
-def test_the_exchange_answers_once_and_in_time_whatever_the_module_does() -> None:
+def test_exchange_answers_once_and_in_time_whatever_the_module_does() -> None:
     at = Recorder()
     finals: dict[str, list[object]] = {}
     for number, (kind, ran) in enumerate([("look", True), ("change", False), ("change", True)]):
@@ -376,15 +376,15 @@
         at.exchange.fail(transaction.name)
         if ran:
             at.exchange.branch_ended(branch, Result(Outcome.OK, b"late"))
-            assert at.ended[-1] == (branch, Outcome.OK)  # the late result reaches the module all the same
-    mild = [Refused(0.25)]
-    assert finals == {"look True": mild, "change False": mild, "change True": [Failed("failed")]}
+            assert at.ended[-1] == (branch, Outcome.OK)  # the module gets the late result as well
+    refused = [Refused(0.25)]
+    assert finals == {"look True": refused, "change False": refused, "change True": [Failed("failed")]}
     assert not at.exchange.transactions
     at.close()
 
 
-def test_an_answer_whose_rest_never_comes_is_given_up_long_before_its_request() -> None:
-    """A length that doesn't fit held its request until its time was up."""
+def test_incomplete_answer_is_given_up_before_the_request_times_out() -> None:
+    """An answer with a wrong length used to hold its request until the deadline."""
     at, hop = Recorder(), listener()
     side = NextHops(at.loop, at.log.append, at.exchange, 60.0, 600.0, 60.0, 10)
     at.exchange.next_hops = side
@@ -403,7 +403,7 @@
     at.close()
 
 
-def test_a_change_that_may_have_run_is_neither_sent_again_nor_refused() -> None:
+def test_unsafe_request_that_may_have_run_is_neither_retried_nor_refused() -> None:
     at = Recorder()
     finals: list[object] = []
     request = Request("change", "plain", "7", 60.0, 1.0, 1, 0, None)
@@ -419,8 +419,8 @@
     at.close()
 
 
-def test_a_connection_closed_within_its_own_outcome_gets_no_further_branch() -> None:
-    """It lives on until its coroutine yields: a branch written to it in between would be reset."""
+def test_connection_closed_while_reporting_its_outcome_gets_no_further_branch() -> None:
+    """The connection ends only when its coroutine yields; a branch written before that would be reset."""
     at, hop = Recorder(), listener()
     side = NextHops(at.loop, at.log.append, at.exchange, 60.0, 600.0, 60.0, 10)
     at.exchange.next_hops = side
@@ -452,91 +452,91 @@
     at.close()
 
 
-def test_nothing_is_read_before_callers_are_served_and_the_wait_is_their_time() -> None:
-    """A restarted ingress sent what came at once by its saved list, a moment before discovery's word."""
+def test_nothing_is_read_before_serving_starts_and_the_wait_counts() -> None:
+    """A restarted ingress used to send early requests by its saved, stale route set."""
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 4)
-    with socket.create_connection(side.address) as caller:
-        caller.sendall(b"*1\r\n$4\r\nPING\r\n" + command("0001", d=300))
+    with socket.create_connection(side.address) as client:
+        client.sendall(b"*1\r\n$4\r\nPING\r\n" + command("0001", d=300))
         run_until(at.loop, lambda: side.connections)
         began = at.loop.now()
         run_until(at.loop, lambda: at.loop.now() > began + 0.05)
         assert at.opened == []
-        assert not select.select([caller], [], [], 0)[0]
+        assert not select.select([client], [], [], 0)[0]
         side.start_serving()
         run_until(at.loop, lambda: at.opened)
-        assert at.opened[0].deadline <= began + 0.3  # of the connection's beginning, not of when it was read
-        assert read_until(caller, b"\r\n") == b"+PONG\r\n"
+        assert at.opened[0].deadline <= began + 0.3  # from the start of the connection, not from the read
+        assert read_until(client, b"\r\n") == b"+PONG\r\n"
     at.close()
 
 
-def test_a_connection_that_has_just_come_is_not_closed_over_its_command_by_a_drain() -> None:
-    """1.5 s after the call every connection was ended, new ones over what was under way: 3 to 8 of 5,100."""
+def test_expired_drain_spares_a_new_connection_before_its_first_command() -> None:
+    """An expired drain used to close new connections whose commands were under way: 3 to 8 of 5,100."""
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 4)
     side.start_serving()
-    with socket.create_connection(side.address) as caller:
+    with socket.create_connection(side.address) as client:
         run_until(at.loop, lambda: side.connections)
         side.evacuate(True, 1.0)
         side._expire_drain(side.drain_count)
-        caller.sendall(b"*1\r\n$4\r\nPING\r\n")
-        run_until(at.loop, lambda: select.select([caller], [], [], 0)[0])
-        assert read_until(caller, b"\r\n") == b"-ERR evacuated\r\n"
-        run_until(at.loop, lambda: not side.connections or select.select([caller], [], [], 0)[0])
+        client.sendall(b"*1\r\n$4\r\nPING\r\n")
+        run_until(at.loop, lambda: select.select([client], [], [], 0)[0])
+        assert read_until(client, b"\r\n") == b"-ERR evacuated\r\n"
+        run_until(at.loop, lambda: not side.connections or select.select([client], [], [], 0)[0])
     at.close()
 
 
-def test_connections_that_never_ask_end_with_an_error_and_usual_ones_stay() -> None:
-    """They held their places for 20 s."""
+def test_connections_without_a_command_are_closed_and_others_stay() -> None:
+    """Silent connections used to occupy their slots for 20 s."""
     at, clock = Recorder(), [100.0]
     at.loop.now = lambda: clock[0]  # type: ignore[method-assign]
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 4)
     side.ready = True
 
     def sweep() -> None:
-        at.loop.timers.clear()  # none but those that the test asks for
+        at.loop.timers.clear()  # only sweeps called by the test
         side._sweep()
         at.loop.timers.clear()
 
     at.loop.timers.clear()
-    usual, silent, half, done = callers = [socket.create_connection(side.address) for _ in range(4)]
-    for caller, sent in zip(callers, (b"PING", b"", b"PI", b"PING"), strict=True):
-        caller.settimeout(20)
-        caller.sendall(b"*1\r\n$4\r\n" + sent + b"\r\n" if sent else b"")
-    for caller in (usual, done):
+    usual, silent, half, done = clients = [socket.create_connection(side.address) for _ in range(4)]
+    for client, sent in zip(clients, (b"PING", b"", b"PI", b"PING"), strict=True):
+        client.settimeout(20)
+        client.sendall(b"*1\r\n$4\r\n" + sent + b"\r\n" if sent else b"")
+    for client in (usual, done):
         run_until(at.loop, lambda: sum(connection.answered for connection in side.connections) == 2)
-        assert read_until(caller, b"\r\n") == b"+PONG\r\n"
-    done.sendall(b"*1\r\n$4\r\nPI")  # half a command that moves on is let be
+        assert read_until(client, b"\r\n") == b"+PONG\r\n"
+    done.sendall(b"*1\r\n$4\r\nPI")  # a partial command that keeps growing is tolerated
     run_until(at.loop, lambda: sum(bool(connection.buffer.data) for connection in side.connections) == 2)
     clock[0] += FIRST_COMMAND_TIMEOUT / 2
     sweep()
     assert len(side.connections) == 4
-    fresh = socket.create_connection(side.address)  # at the cap the one idle longest makes way
+    fresh = socket.create_connection(side.address)  # at the limit the longest idle one is evicted
     run_until(at.loop, lambda: any("end caller cap answered=0" in line for line in at.log))
     clock[0] += FIRST_COMMAND_TIMEOUT / 2 + 0.1
     sweep()
     assert len(side.connections) == 3
     assert [line.split()[2] for line in at.log if line.startswith("end caller")] == ["cap", "silent"]
-    answers = sorted(caller.recv(100) for caller in (silent, half))
+    answers = sorted(client.recv(100) for client in (silent, half))
     assert answers == [b"", b"-ERR no whole command in time\r\n"]
     for _ in range(MAX_READ_STALLS + 1):
         sweep()
     assert "end caller slow_writer" in at.log[-1]
     usual.sendall(b"*1\r\n$4\r\nPING\r\n")
     run_until(at.loop, lambda: sum(connection.answered for connection in side.connections) == 2)
-    for caller in (*callers, fresh):
-        caller.close()
+    for client in (*clients, fresh):
+        client.close()
     at.close()
 
 
-def test_an_answered_request_leaves_no_circle_of_objects() -> None:
-    """Such circles waited for the collector by the megabyte, and read as memory that keeps growing."""
+def test_answered_request_leaves_no_reference_cycle() -> None:
+    """Such cycles waited for the garbage collector by the megabyte and looked like a memory leak."""
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 4)
     side.start_serving()
-    with socket.create_connection(side.address) as caller:
+    with socket.create_connection(side.address) as client:
         for serial in range(20):
-            caller.sendall(command(f"{serial:04x}"))
+            client.sendall(command(f"{serial:04x}"))
             run_until(at.loop, lambda: len(at.opened) == 1)
             at.exchange.fail(at.opened.pop().name)
             if serial == 9:
@@ -549,18 +549,18 @@
     at.close()
 
 
-def test_a_command_held_back_behind_others_has_less_time_left() -> None:
+def test_wait_behind_other_commands_counts_against_the_time_left() -> None:
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 10)
     side.start_serving()
-    with socket.create_connection(side.address) as caller:
-        caller.sendall(b"".join(command(f"{n:04x}") for n in range(MAX_PIPELINED + 1)))
+    with socket.create_connection(side.address) as client:
+        client.sendall(b"".join(command(f"{n:04x}") for n in range(MAX_PIPELINED + 1)))
         run_until(at.loop, lambda: len(at.opened) == MAX_PIPELINED)
-        caller.sendall(command("ffff"))
+        client.sendall(command("ffff"))
         since = at.loop.now()
         time.sleep(0.02)
         rounds = at.loop.iteration
-        run_until(at.loop, lambda: at.loop.iteration >= rounds + 3)  # the loop itself is not late any more
+        run_until(at.loop, lambda: at.loop.iteration >= rounds + 3)  # the loop has caught up
         for transaction in at.opened[:2]:
             at.exchange.fail(transaction.name)
             run_until(at.loop, lambda: len(at.opened) > MAX_PIPELINED)
@@ -570,8 +570,8 @@
     at.close()
 
 
-def test_a_command_whose_first_write_fails_goes_whole_to_another_connection() -> None:
-    """Nothing of it had left; it must neither be lost nor count as begun."""
+def test_command_whose_first_write_fails_is_sent_on_another_connection() -> None:
+    """No byte of it was sent: it must neither be lost nor count as started."""
     at, hop = Recorder(), listener()
     side = NextHops(at.loop, at.log.append, at.exchange, 60.0, 600.0, 60.0, 10)
     at.exchange.next_hops = side
@@ -586,7 +586,7 @@
         sock.sendall(b"-BUSY\r\n")
         run_until(at.loop, lambda: at.ended)
         idle = side.hops["s-1"].idle[0]
-        idle.sock.shutdown(socket.SHUT_WR)  # the next write fails, though nothing shows before it
+        idle.sock.shutdown(socket.SHUT_WR)  # the next write fails without any earlier sign
         second = at.exchange.send(names[1], "s-1", None)
         assert second is not None
         with hop.accept()[0] as other:
--- a/tests/test_descriptor_limits.py
+++ b/tests/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""Idle clients hold every descriptor: whatever has to be opened is opened in place of one of them."""
+"""When idle clients use up all descriptors, new sockets replace idle connections."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from tests.test_endings import known
 from tests.wire import LIMIT, Program, command, config, listener, program, read_until, run_until
 
-ROOM = 20  # descriptors left for the test's idle clients
+FREE_DESCRIPTORS = 20  # for the test's idle clients
 VALUE = b"*3\r\n$2\r\nva\r\n$-1\r\n$-1\r\n"
 PING = b"*1\r\n$4\r\nPING\r\n"
 
 
 def fill(running: Program, clients: ExitStack) -> list[socket.socket]:
-    """Idle clients until none is accepted but in the place of another; those that came last."""
+    """Connects idle clients until new ones replace old ones. Returns the latest ones."""
     pid, opened = running.process.pid, list[socket.socket]()
-    most = max(int(fd) for fd in os.listdir(f"/proc/{pid}/fd")) + ROOM
+    most = max(int(fd) for fd in os.listdir(f"/proc/{pid}/fd")) + FREE_DESCRIPTORS
     resource.prlimit(pid, resource.RLIMIT_NOFILE, (most, resource.prlimit(pid, resource.RLIMIT_NOFILE)[1]))
-    for _ in range(ROOM + 5):
+    for _ in range(FREE_DESCRIPTORS + 5):
         opened.append(clients.enter_context(running.call()))
         opened[-1].sendall(PING)
         read_until(opened[-1], b"+PONG\r\n")
@@ -35,7 +35,7 @@
     return opened[-10:]
 
 
-def test_discovery_is_reached_at_its_return_and_backends_and_new_clients_are_served(tmp_path: Path) -> None:
+def test_new_connections_replace_idle_clients_when_descriptors_run_out(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as down:
         address = down.getsockname()
     with ExitStack() as stack, listener() as hop:
@@ -45,7 +45,7 @@
         idle = fill(running, stack)
 
         def ask(client: socket.socket, ident: str) -> socket.socket:
-            """A request is sent on by a connection that is dialled for it."""
+            """Sends a request that needs a new backend connection."""
             client.sendall(command(ident, d=60_000))
             at_backend = stack.enter_context(hop.accept()[0])
             at_backend.settimeout(LIMIT)
@@ -72,8 +72,8 @@
         assert "fault" not in running.log
 
 
-def test_a_request_taken_while_room_is_made_makes_none_in_turn(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each of many clients has just asked: one frame in another, they would go beyond the stack."""
+def test_eviction_does_not_recurse(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Eviction reads requests of many clients; if each evicted in turn, the stack would overflow."""
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 100)
     side.start_serving()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,4 @@
-"""What is still owed at the instant in which something ends, the crossing forced on real sockets."""
+"""Races between the end of a connection or process and outstanding work, forced on real sockets."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class Wired:
-    """Both sides of an ingress and the exchange in one loop; `send` stands for the module."""
+    """Client side, next-hop side and exchange in one loop; `send` replaces the decision module."""
 
     def __init__(
         self,
@@ -65,40 +65,40 @@
         )
         self.at.exchange.next_hops = self.hops
         self.address = address
-        self.tell(Phase.SERVING)
+        self.set_phase(Phase.SERVING)
 
-    def tell(self, phase: Phase) -> None:
+    def set_phase(self, phase: Phase) -> None:
         route = Route("s-1", self.address, "z1", "std", 0, phase, 1.0, None)
         self.hops.update_routes(RouteSet(1, True, (route,)))
 
     def ask(self, ident: str) -> socket.socket:
-        """A caller of its own whose request has been taken."""
-        caller, before = socket.create_connection(self.clients.address), len(self.at.opened)
-        caller.settimeout(LIMIT)
-        caller.sendall(command(ident, d=60_000))
+        """Connects a new client and waits until its request is opened."""
+        client, before = socket.create_connection(self.clients.address), len(self.at.opened)
+        client.settimeout(LIMIT)
+        client.sendall(command(ident, d=60_000))
         run_until(self.at.loop, lambda: len(self.at.opened) > before)
-        return caller
+        return client
 
     def send(self, timeout: float | None = None) -> None:
-        """The request taken last is sent on."""
+        """Sends the most recently opened request to the next hop."""
         self.at.exchange.send(self.at.opened[-1].name, "s-1", timeout)
 
     def accept(self, hop: socket.socket) -> socket.socket:
-        """The next hop's end of a connection, when a command has come on it."""
+        """Accepts a connection at the next hop and reads one command."""
         sock = hop.accept()[0]
         sock.settimeout(LIMIT)
         run_until(self.at.loop, lambda: select.select([sock], [], [], 0)[0])
         read_until(sock, b"first=0\r\n")
         return sock
 
-    def answered(self, caller: socket.socket) -> bytes:
-        """What a caller gets."""
-        run_until(self.at.loop, lambda: select.select([caller], [], [], 0)[0])
-        return caller.recv(65536)
+    def answered(self, client: socket.socket) -> bytes:
+        """Waits for a client's answer."""
+        run_until(self.at.loop, lambda: select.select([client], [], [], 0)[0])
+        return client.recv(65536)
 
 
-class Held:
-    """A next hop whose connections don't come up: its queue of accepted ones is full until `release`."""
+class HangingHop:
+    """A next hop to which connects hang, because its accept queue is full until `release`."""
 
     def __init__(self) -> None:
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -111,7 +111,7 @@
             filler.connect_ex(self.sock.getsockname())
             self.fillers.append(filler)
 
-    def __enter__(self) -> Held:
+    def __enter__(self) -> HangingHop:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -119,21 +119,21 @@
             one.close()
 
     def release(self) -> None:
-        """From now on connections come up; those that are dialled again by themselves after a second."""
+        """Lets connects succeed; TCP retries the pending ones after a second."""
         for filler in self.fillers:
             filler.close()
         self.sock.listen(64)
 
     def command(self) -> bytes:
-        """What has come on the first connection that says anything."""
+        """Returns the first data received on any connection."""
         while True:
             with self.sock.accept()[0] as sock:
                 if data := sock.recv(65536):
                     return data
 
 
-def test_a_request_whose_caller_leaves_while_its_connection_is_dialled_is_not_sent() -> None:
-    with Held() as hop:
+def test_request_is_not_sent_if_its_client_closes_during_a_dial() -> None:
+    with HangingHop() as hop:
         wired = Wired(hop.sock.getsockname())
         loop = wired.at.loop
         leaves = wired.ask("aa01")
@@ -150,8 +150,8 @@
         wired.at.close()
 
 
-class Greeted(PlainStream):
-    """A handshake that goes on until the next hop says a byte."""
+class SlowHandshakeStream(PlainStream):
+    """A stream whose handshake lasts until the next hop sends a byte."""
 
     def open(self) -> Coroutine[str]:
         """See Stream."""
@@ -160,9 +160,9 @@
         return ""
 
 
-def test_a_request_whose_caller_leaves_in_the_middle_of_a_handshake_is_not_sent() -> None:
+def test_request_is_not_sent_if_its_client_closes_during_a_handshake() -> None:
     with listener() as hop:
-        wired = Wired(hop.getsockname(), make=lambda route, sock: Greeted(sock))
+        wired = Wired(hop.getsockname(), make=lambda route, sock: SlowHandshakeStream(sock))
         leaves = wired.ask("aa01")
         wired.send()
         at_hop = hop.accept()[0]
@@ -170,25 +170,25 @@
         run_until(wired.at.loop, lambda: wired.hops.open_connections() == {} and wired.hops.connections == 1)
         leaves.close()
         run_until(wired.at.loop, lambda: wired.at.gone)
-        with contextlib.suppress(OSError):  # the handshake would end now
+        with contextlib.suppress(OSError):  # completes the handshake
             at_hop.sendall(b"!")
         run_until(wired.at.loop, lambda: any("end nexthop s-1" in line for line in wired.at.log))
         assert wired.hops.forwards == 0
-        with contextlib.suppress(ConnectionError):  # closed over the byte it is a reset
+        with contextlib.suppress(ConnectionError):  # a reset, if the byte was unread at the close
             assert at_hop.recv(65536) == b""
         at_hop.close()
         wired.at.close()
 
 
-def test_commands_unread_behind_others_are_dropped_when_the_caller_leaves(tmp_path: Path) -> None:
+def test_unread_commands_are_dropped_when_the_client_closes(tmp_path: Path) -> None:
     with listener() as hop, program(tmp_path, config(known=known(hop))) as running:
-        caller = running.call()
+        client = running.call()
         many = [f"aa{number:02}" for number in range(MAX_PIPELINED + 20)]
-        caller.sendall(b"".join(command(ident, d=15_000) for ident in many))
+        client.sendall(b"".join(command(ident, d=15_000) for ident in many))
         at_hop = hop.accept()[0]
         at_hop.settimeout(LIMIT)
         read_until(at_hop, b"first=0\r\n")
-        caller.close()
+        client.close()
         running.logged(f"end caller peer_closed answered=0 open={MAX_PIPELINED}")
         at_hop.sendall(VALUE)
         other = running.call()
@@ -199,7 +199,7 @@
         assert "taken=64" in running.log
 
 
-def test_what_was_sent_before_the_ingress_was_ready_is_not_taken_when_its_caller_has_left() -> None:
+def test_requests_sent_before_readiness_are_dropped_if_the_client_has_closed() -> None:
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 10)
     stays, leaves = (socket.create_connection(side.address) for _ in range(2))
@@ -215,7 +215,7 @@
     at.close()
 
 
-def test_a_caller_that_has_sent_and_closed_before_it_was_accepted_is_not_served() -> None:
+def test_client_that_closed_before_it_was_accepted_is_not_served() -> None:
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 10)
     side.start_serving()
@@ -230,10 +230,8 @@
 
 
 @pytest.mark.parametrize("deadline", [0.3, 0.8, 3.0, 5.0])
-def test_what_is_open_when_the_process_may_wait_no_longer_is_answered(
-    deadline: float, tmp_path: Path
-) -> None:
-    """A request that came late is owed for longer than SIGKILL is put off; its next hop hangs."""
+def test_open_requests_are_answered_before_the_process_must_exit(deadline: float, tmp_path: Path) -> None:
+    """The remaining time of a late request exceeds the time until SIGKILL, and its next hop hangs."""
     raw = with_deadline(config(known=known(hop := listener())), deadline)
     with hop, program(tmp_path, raw) as running:
         change, view = running.call(), running.call()
@@ -242,7 +240,7 @@
         at_hop = [hop.accept()[0] for _ in range(2)]
         running.terminate()
         told = time.monotonic()
-        assert read_until(change, b"\r\n") == b"-ERR failed\r\n"  # it may have run
+        assert read_until(change, b"\r\n") == b"-ERR failed\r\n"  # the command may have run
         assert read_until(view, b"\r\n").startswith(b"-BUSY")
         assert change.recv(10) == view.recv(10) == b""
         assert time.monotonic() - told < kill_time(deadline)
@@ -251,48 +249,48 @@
             sock.close()
 
 
-def test_a_connection_that_was_just_accepted_is_not_asked_to_make_way_and_the_cap_holds() -> None:
-    """Its command is under way: closed with no answer it would be a request turned away unheard."""
+def test_new_connections_are_not_evicted_and_the_limit_holds() -> None:
+    """The first command is under way; closing the connection would drop it without an answer."""
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 3)
     side.start_serving()
-    callers = [socket.create_connection(side.address) for _ in range(6)]
+    clients = [socket.create_connection(side.address) for _ in range(6)]
     at.loop.run_once()
     at.loop.run_once()
     assert len(side.connections) == 3
-    for caller in callers[:3]:
-        caller.sendall(b"*1\r\n$4\r\nPING\r\n")
-    run_until(at.loop, lambda: all(select.select([caller], [], [], 0)[0] for caller in callers[:3]))
-    assert [caller.recv(10) for caller in callers[:3]] == [b"+PONG\r\n"] * 3
+    for client in clients[:3]:
+        client.sendall(b"*1\r\n$4\r\nPING\r\n")
+    run_until(at.loop, lambda: all(select.select([client], [], [], 0)[0] for client in clients[:3]))
+    assert [client.recv(10) for client in clients[:3]] == [b"+PONG\r\n"] * 3
     run_until(at.loop, lambda: sum("end caller cap answered=1" in line for line in at.log) == 3)
     assert len(side.connections) == 3
-    for caller in callers:
-        caller.close()
+    for client in clients:
+        client.close()
     at.close()
 
 
-def test_a_command_that_has_come_as_a_drain_presses_is_taken_first() -> None:
+def test_command_that_arrived_before_the_drain_expired_is_served() -> None:
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 3)
     side.start_serving()
-    caller = socket.create_connection(side.address)
+    client = socket.create_connection(side.address)
     run_until(at.loop, lambda: side.connections)
     side.draining = side.drain_expired = True
     next(iter(side.connections)).created_at -= 1.0
-    caller.sendall(command("aa01"))
+    client.sendall(command("aa01"))
     side._sweep()
     assert [transaction.request.ident for transaction in at.opened] == [b"aa01"]
     at.exchange.refuse(at.opened[0].name, None)
-    caller.settimeout(LIMIT)
-    assert read_until(caller, b"\r\n") == b"-BUSY\r\n"
-    caller.close()
+    client.settimeout(LIMIT)
+    assert read_until(client, b"\r\n") == b"-BUSY\r\n"
+    client.close()
     at.close()
 
 
 # Next hops.
 
 
-def test_a_second_answer_some_milliseconds_late_is_not_the_next_command_s() -> None:
+def test_late_duplicate_answer_is_not_taken_for_the_next_command_s() -> None:
     with listener() as hop:
         wired = Wired(hop.getsockname(), cool_down=60.0)
         first = wired.ask("aa01")
@@ -313,63 +311,63 @@
         wired.at.close()
 
 
-def test_nothing_begins_after_the_grace_though_the_loop_itself_is_late() -> None:
-    """What comes up is told before timers that were due earlier: a connection before the grace's end."""
+def test_late_loop_starts_nothing_after_the_drain_grace() -> None:
+    """An established connection is reported before an earlier timer, here the end of the grace period."""
     with listener() as hop:
         wired = Wired(hop.getsockname(), grace=0.06)
-        caller = wired.ask("aa01")
+        client = wired.ask("aa01")
         wired.send()
-        wired.tell(Phase.DRAINING)
+        wired.set_phase(Phase.DRAINING)
         time.sleep(0.1)
         run_until(wired.at.loop, lambda: wired.at.ended)
         assert [outcome for _, outcome in wired.at.ended] == [Outcome.CONNECT_FAILED]
         assert wired.hops.forwards == 0
         assert hop.accept()[0].recv(10) == b""
-        caller.close()
+        client.close()
         wired.at.close()
 
 
-def test_the_grace_covers_what_a_process_may_be_held_up_between_its_clock_and_a_write() -> None:
-    """Nothing begins so late that, held up for 0.15 s, it would be written after the grace."""
+def test_drain_grace_covers_a_delay_between_the_clock_and_the_write() -> None:
+    """No command starts so late that a delay of 0.15 s would make it be written after the grace period."""
     grace = 0.4
     with listener() as hop:
         wired = Wired(hop.getsockname(), grace=grace)
         loop = wired.at.loop
-        caller = wired.ask("aa01")
+        client = wired.ask("aa01")
         told = loop.now()
-        wired.tell(Phase.DRAINING)
+        wired.set_phase(Phase.DRAINING)
         run_until(loop, lambda: loop.now() > told + grace - HOLD_UP_SECONDS)
         wired.send()
         run_until(loop, lambda: wired.at.ended)
         assert [outcome for _, outcome in wired.at.ended] == [Outcome.CONNECT_FAILED]
         assert wired.hops.forwards == 0
-        caller.close()
+        client.close()
         wired.at.close()
 
 
-def test_the_grace_counts_from_when_the_change_can_have_come() -> None:
-    """A loop that was late has read it after that."""
+def test_drain_grace_counts_from_the_earliest_arrival_of_the_change() -> None:
+    """A late loop reads the change after its arrival."""
     grace, late = 0.5, 0.1
     with listener() as hop:
         wired = Wired(hop.getsockname(), grace=grace)
         wired.at.loop.earliest_arrival = wired.at.loop.now() - late
-        wired.tell(Phase.DRAINING)
+        wired.set_phase(Phase.DRAINING)
         assert (
             wired.hops.hops["s-1"].writes_end_at == wired.at.loop.earliest_arrival + grace - HOLD_UP_SECONDS
         )
         wired.at.close()
 
 
-def test_nothing_begins_after_the_branch_s_time_though_the_loop_itself_is_late() -> None:
+def test_late_loop_starts_no_branch_after_its_deadline() -> None:
     with listener() as hop:
         wired = Wired(hop.getsockname())
-        caller = wired.ask("aa01")
+        client = wired.ask("aa01")
         wired.send(0.02)
         time.sleep(0.05)
         run_until(wired.at.loop, lambda: wired.at.ended)
         assert [outcome for _, outcome in wired.at.ended] == [Outcome.CONNECT_FAILED]
         assert wired.hops.forwards == 0
-        caller.close()
+        client.close()
         wired.at.close()
 
 
@@ -385,21 +383,21 @@
 
 
 class Agent:
-    """Discovery's agent, which says on each watch just what it is told to say."""
+    """A discovery agent whose responses are scripted by the test."""
 
     def __init__(self) -> None:
-        self.at, self.told = Recorder(), list[RouteSet]()
+        self.at, self.received = Recorder(), list[RouteSet]()
         self.sock = listener()
         chance = random.Random(1)
         self.routes = RouteWatch(
-            self.at.loop, self.at.log.append, self.sock.getsockname(), (), 7, self.told.append, chance
+            self.at.loop, self.at.log.append, self.sock.getsockname(), (), 7, self.received.append, chance
         )
         self.routes.connect()
-        self.asked = b""
+        self.request_head = b""
         self.watch = self.accept()
 
     def accept(self) -> socket.socket:
-        """The next watch, with the head of its answer."""
+        """Accepts the next watch and sends the response head."""
         self.sock.setblocking(False)
         watches: list[socket.socket] = []
 
@@ -413,11 +411,11 @@
         run_until(self.at.loop, came)
         run_until(self.at.loop, lambda: select.select([watches[0]], [], [], 0)[0])
         watches[0].settimeout(LIMIT)
-        self.asked = read_until(watches[0], b"\r\n\r\n")
+        self.request_head = read_until(watches[0], b"\r\n\r\n")
         watches[0].sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         return watches[0]
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         self.watch.sendall(b"%x\r\n%b\r\n" % (len(data), data))
 
 
@@ -431,7 +429,7 @@
     made.at.close()
 
 
-def test_lists_may_come_indented_and_cut_at_any_byte() -> None:
+def test_lists_are_parsed_indented_and_independently_of_segmentation() -> None:
     awkward = entry('s-"}]{\\', "DRAINING") | {"flavor": "a}\nb"}
     texts = [
         json.dumps(change(8, awkward)),
@@ -446,21 +444,21 @@
         assert [json.loads(text) for text in found if text] == [json.loads(text) for text in texts], step
     with agent() as one:
         for text in texts:
-            one.say(text.encode() + b"\n")
-        run_until(one.at.loop, lambda: len(one.told) == 3)
-        assert [routes.revision for routes in one.told] == [8, 9, 10]
-        assert one.told[1].routes[0].hop == awkward["id"]
+            one.send(text.encode() + b"\n")
+        run_until(one.at.loop, lambda: len(one.received) == 3)
+        assert [routes.revision for routes in one.received] == [8, 9, 10]
+        assert one.received[1].routes[0].hop == awkward["id"]
 
 
-def test_what_is_written_whole_is_told_though_its_line_has_not_ended() -> None:
+def test_complete_object_is_applied_without_the_end_of_its_line() -> None:
     with agent() as one:
-        one.say(json.dumps(change(8, entry("s-1", "DRAINING"))).encode())
-        run_until(one.at.loop, lambda: len(one.told) == 1)
+        one.send(json.dumps(change(8, entry("s-1", "DRAINING"))).encode())
+        run_until(one.at.loop, lambda: len(one.received) == 1)
 
 
-def test_a_watch_that_drips_and_never_ends_an_object_is_broken() -> None:
+def test_watch_that_sends_bytes_but_never_completes_an_object_times_out() -> None:
     with agent() as one:
-        one.say(b'{"revision": 8,\n')
+        one.send(b'{"revision": 8,\n')
         drips = 0
 
         def broken() -> bool:
@@ -468,64 +466,65 @@
             if any("end routes silent" in line for line in one.at.log):
                 return True
             drips += 1
-            one.say(b" \n")
+            one.send(b" \n")
             return False
 
         run_until(one.at.loop, broken)
         assert drips > 100
         one.watch.close()
         one.watch = one.accept()
-        assert b"since=7 " in one.asked
+        assert b"since=7 " in one.request_head
 
 
-def test_a_watch_that_is_open_and_well_makes_the_next_break_the_first_one() -> None:
-    """An empty line is enough: pause, slow head and silence together would outlast what counts as told."""
+def test_working_watch_resets_the_back_off() -> None:
+    """An empty line is enough: back-off, slow head and silence together would exceed the change deadline."""
     with agent() as one:
         timing = one.routes.timing
         timing.back_off = timing.head_timeout = timing.unavailable_back_off = 4.0
-        one.say(b"\n")
+        one.send(b"\n")
         run_until(one.at.loop, lambda: timing.head_timeout == HEAD_TIMEOUT)
         assert timing.back_off < 0.1
         assert not timing.unavailable_back_off
 
 
-def test_a_change_that_cannot_be_read_is_asked_for_again_and_the_good_ones_hold() -> None:
+def test_unreadable_member_is_skipped_and_the_complete_list_is_requested() -> None:
     with agent() as one:
-        gone: dict[str, object] = {"id": "s-3", "phase": "DELETED"}  # nothing more is needed of it
-        one.say(json.dumps(change(8, entry("s-1", "DRAINING"), entry("s-2", "ODD"), gone)).encode() + b"\n")
-        run_until(one.at.loop, lambda: len(one.told) == 1)
-        assert [route.hop for route in one.told[0].routes] == ["s-1", "s-3"]
+        gone: dict[str, object] = {"id": "s-3", "phase": "DELETED"}  # no other fields are needed
+        one.send(json.dumps(change(8, entry("s-1", "DRAINING"), entry("s-2", "ODD"), gone)).encode() + b"\n")
+        run_until(one.at.loop, lambda: len(one.received) == 1)
+        assert [route.hop for route in one.received[0].routes] == ["s-1", "s-3"]
         one.watch.close()
         one.watch = one.accept()
-        assert b"since" not in one.asked
-        one.say(json.dumps(change(8, entry("s-1", "DRAINING"), entry("s-2", "ODD"), complete=True)).encode())
-        run_until(one.at.loop, lambda: len(one.told) == 2)  # of a whole list the unread is gone, once for all
-        one.say(json.dumps(change(9, entry("s-1", "SERVING"))).encode())
-        run_until(one.at.loop, lambda: len(one.told) == 3)
+        assert b"since" not in one.request_head
+        one.send(json.dumps(change(8, entry("s-1", "DRAINING"), entry("s-2", "ODD"), complete=True)).encode())
+        # An unreadable member of a complete list is gone for good.
+        run_until(one.at.loop, lambda: len(one.received) == 2)
+        one.send(json.dumps(change(9, entry("s-1", "SERVING"))).encode())
+        run_until(one.at.loop, lambda: len(one.received) == 3)
 
 
-def test_a_revision_that_goes_back_is_not_taken_in_and_the_whole_list_is_asked_for() -> None:
+def test_revision_that_goes_back_is_ignored_and_the_complete_list_requested() -> None:
     with agent() as one:
-        one.say(json.dumps(change(9, entry("s-1", "DRAINING"))).encode() + b"\n")
-        one.say(json.dumps(change(8, entry("s-1", "SERVING"))).encode() + b"\n")
+        one.send(json.dumps(change(9, entry("s-1", "DRAINING"))).encode() + b"\n")
+        one.send(json.dumps(change(8, entry("s-1", "SERVING"))).encode() + b"\n")
         run_until(one.at.loop, lambda: any("goes back" in line for line in one.at.log))
-        assert [routes.revision for routes in one.told] == [9]
+        assert [routes.revision for routes in one.received] == [9]
         one.watch.close()
         one.watch = one.accept()
-        assert b"since" not in one.asked
-        one.say(json.dumps(change(3, entry("s-1", "SERVING"), complete=True)).encode() + b"\n")
-        run_until(one.at.loop, lambda: len(one.told) == 2)
+        assert b"since" not in one.request_head
+        one.send(json.dumps(change(3, entry("s-1", "SERVING"), complete=True)).encode() + b"\n")
+        run_until(one.at.loop, lambda: len(one.received) == 2)
 
 
 @pytest.mark.parametrize(("pushed", "longest"), [(True, 0.25), (False, MAX_BACK_OFF)])
-def test_no_pause_outlasts_half_of_the_grace_where_lists_are_pushed(pushed: bool, longest: float) -> None:
-    """What the agent has counts as told, whether a watch is open or not."""
+def test_back_off_is_at_most_half_of_the_drain_grace_with_pushed_lists(pushed: bool, longest: float) -> None:
+    """With pushed lists, a change counts as received once the agent has it, even if no watch is open."""
     raw = config()
     raw["settings"]["Rules"]["DrainGraceUs"] = 500_000
     raw["settings"]["Discovery"] = "pushed" if pushed else "on_request"
     log: list[str] = []
     loop = Loop(log.append)
-    ingress = Ingress(read(raw, log.append), loop, log.append)  # nobody listens where its agent should be
+    ingress = Ingress(read(raw, log.append), loop, log.append)  # nobody listens at its agent's address
     assert ingress.routes is not None
     ingress.routes.connect()
     run_until(loop, lambda: sum("end routes connect_failed" in line for line in log) >= 8)
--- a/tests/test_faulty_calls.py
+++ b/tests/test_faulty_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, and faults of what must outlive them: the ingress serves on."""
+"""The ingress keeps serving when system calls fail transiently and when its coroutines raise exceptions."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 from tests.wire import LIMIT, command, config, listener, member, program, read_until, run_until
 
 PING = b"*1\r\n$4\r\nPING\r\n"
-BEGIN = 0.6  # seconds after the start from which calls fail; it is ready after 0.3, on a busy machine after 2
-END = 4.0  # seconds after the start until which they do
-RATE = 40.0  # requests a second, each on a connection of its own
-AFTER = 0.4  # seconds for which it goes on afterwards
+BEGIN = 0.6  # seconds after the start when calls begin to fail; startup takes 0.3 s, on a busy machine 2 s
+END = 4.0  # seconds after the start when calls stop failing
+RATE = 40.0  # requests per second, each on a new connection
+AFTER = 0.4  # seconds of requests after that
 FAULTS: dict[str, list[tuple[str, str, int]]] = {
     "setsockopt": [("setsockopt", "ENOBUFS", 3)],
     "accept-lacks": [("accept", "ENFILE", 2)],
@@ -52,7 +52,7 @@
 
 
 def ask_on(address: tuple[str, int], until: float) -> list[str]:
-    """How requests end, each on a new connection: until a time, and more of them than a second has."""
+    """Sends requests on new connections until a time, at least one second's worth. Returns how they ended."""
     ends: list[str] = []
     while time.monotonic() < until or len(ends) <= RATE:
         due = time.monotonic() + 1 / RATE
@@ -67,8 +67,8 @@
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_requests_are_served_while_system_calls_fail_for_a_moment(name: str, tmp_path: Path) -> None:
-    """The only backend answers once on each connection, so that its pool is empty for the next request."""
+def test_requests_are_served_despite_transient_system_call_failures(name: str, tmp_path: Path) -> None:
+    """The backend answers once per connection, so that each request needs a new connection."""
     calls = [{"call": call, "error": error, "every": every} for call, error, every in FAULTS[name]]
     faults = json.dumps({"calls": calls, "from": BEGIN, "until": END})
     begun = time.monotonic()
@@ -87,20 +87,21 @@
         ends = ask_on(address, begun + END + AFTER)
         assert set(ends) == {"served"}, running.log
         assert len(ends) > RATE
-        assert not select.select([idle], [], [], 0)[0]  # it made no room for what was not missing
+        # No idle client was evicted, as no descriptor was missing.
+        assert not select.select([idle], [], [], 0)[0]
         running.terminate()
         running.logged("stopped")
         assert "fault" not in running.log
 
 
-class Failing:
-    """The poll, with a call that fails so many times."""
+class FailingEpoll:
+    """An epoll whose `register` fails `times` times."""
 
     def __init__(self, real: Any, times: int) -> None:
         self.real, self.times = real, times
 
     def register(self, fd: int, mask: int) -> None:
-        """As epoll's."""
+        """See select.epoll.register."""
         self.times -= 1
         if self.times >= 0:
             raise OSError(errno.ENOMEM, "no memory")
@@ -110,20 +111,20 @@
         return getattr(self.real, name)
 
 
-def test_a_connection_that_cannot_be_waited_on_at_once_is_served_and_one_that_never_can_is_closed() -> None:
+def test_epoll_registration_is_retried_and_the_connection_closed_if_it_keeps_failing() -> None:
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 10)
     side.start_serving()
-    at.loop.epoll = Failing(at.loop.epoll, 2)  # type: ignore[assignment]
+    at.loop.epoll = FailingEpoll(at.loop.epoll, 2)  # type: ignore[assignment]
     with socket.create_connection(side.address) as client:
         client.sendall(PING)
         run_until(at.loop, lambda: select.select([client], [], [], 0)[0])
         assert client.recv(100) == b"+PONG\r\n"
-    at.loop.epoll = Failing(at.loop.epoll, 3)  # type: ignore[assignment]
+    at.loop.epoll = FailingEpoll(at.loop.epoll, 3)  # type: ignore[assignment]
     with socket.create_connection(side.address) as client:
         run_until(at.loop, lambda: select.select([client], [], [], 0)[0])
         assert client.recv(100) == b""
-    with socket.create_connection(side.address) as client:  # and the listener is there
+    with socket.create_connection(side.address) as client:  # the listener still works
         client.sendall(PING)
         run_until(at.loop, lambda: select.select([client], [], [], 0)[0])
         assert client.recv(100) == b"+PONG\r\n"
@@ -131,7 +132,7 @@
     at.close()
 
 
-def test_the_listener_outlives_a_fault_of_its_coroutine(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_listener_survives_an_exception(monkeypatch: pytest.MonkeyPatch) -> None:
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 10)
     side.start_serving()
@@ -151,7 +152,7 @@
     at.close()
 
 
-def test_datagrams_are_taken_after_one_that_is_a_fault() -> None:
+def test_datagrams_are_received_after_an_exception() -> None:
     log, heard = list[str](), list[bytes]()
     loop = Loop(log.append)
 
@@ -173,7 +174,7 @@
     peers.sock.close()
 
 
-def test_what_is_done_again_and_again_outlives_its_faults() -> None:
+def test_repeated_call_survives_exceptions() -> None:
     log: list[str] = []
     loop, times = Loop(log.append), [0]
 
@@ -187,8 +188,8 @@
     loop.epoll.close()
 
 
-def test_a_change_that_could_not_be_taken_in_is_asked_for_again() -> None:
-    """A fault in the middle of it must not leave a list that is believed to be known."""
+def test_complete_list_is_requested_after_an_exception_while_applying_a_change() -> None:
+    """After an exception the route set may be incomplete and must not count as known."""
     log: list[str] = []
     loop, told = Loop(log.append), list[RouteSet]()
 
@@ -197,16 +198,16 @@
         if len(told) == 1:
             raise ZeroDivisionError
 
-    class Unhurried:
-        """Draws the shortest pause."""
+    class ShortestPause:
+        """Always draws the shortest pause."""
 
         def uniform(self, low: float, high: float) -> float:
-            """The lower end."""
+            """Returns the lower bound."""
             return low
 
     whole = json.dumps({"revision": 7, "complete": True, "members": []}).encode() + b"\n"
     with listener() as agent:
-        routes = RouteWatch(loop, log.append, agent.getsockname(), (), 3, take, Unhurried())  # type: ignore[arg-type]
+        routes = RouteWatch(loop, log.append, agent.getsockname(), (), 3, take, ShortestPause())  # type: ignore[arg-type]
         routes.connect()
         asked = []
         for number in range(2):
@@ -226,7 +227,7 @@
     loop.epoll.close()
 
 
-def test_a_pause_is_kept_whatever_comes_on_the_descriptor() -> None:
+def test_pause_is_not_shortened_by_events_on_the_descriptor() -> None:
     loop, ended = Loop(list[str]().append), list[float]()
 
     def wait() -> Coroutine[None]:
@@ -251,7 +252,7 @@
     loop.epoll.close()
 
 
-def test_a_dial_that_has_no_address_of_its_own_is_no_fault_of_the_backend(
+def test_dial_without_a_free_local_address_is_not_blamed_on_the_backend(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     connect: Callable[..., int] = lambda sock, address: errno.EADDRNOTAVAIL  # noqa: E731
@@ -267,10 +268,10 @@
         wired.at.close()
 
 
-def test_the_call_for_the_watch_goes_out_whole_however_short_the_writes_are(
+def test_watch_request_is_sent_completely_despite_short_writes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Cut off, it is never answered, and the watch waits for nothing."""
+    """An incomplete request is never answered, and the watch would wait until its timeout."""
     log: list[str] = []
     loop, send = Loop(log.append), socket.socket.send
     monkeypatch.setattr(socket.socket, "send", lambda sock, data: send(sock, data[:7]))
@@ -288,10 +289,8 @@
 
 
 @pytest.mark.parametrize("call", ["listen", "bind", "setsockopt"])
-def test_a_start_waits_for_what_the_system_lacks_for_a_moment(
-    call: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """It ended with status 2, as if the configuration were at fault."""
+def test_startup_retries_on_transient_shortages(call: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The process used to exit with status 2, as for a configuration error."""
     real, faults = getattr(socket.socket, call), [errno.ENOBUFS] * 3
 
     def failing(sock: socket.socket, *arguments: Any) -> Any:
@@ -307,7 +306,7 @@
     at.close()
 
 
-def test_a_start_does_not_wait_where_the_address_is_another_s() -> None:
+def test_startup_fails_at_once_if_the_address_is_in_use() -> None:
     at = Recorder()
     with listener() as other:
         began = time.monotonic()
@@ -317,26 +316,26 @@
     at.close()
 
 
-def test_a_dial_that_cannot_be_waited_on_leaves_nothing_behind_and_is_not_the_backend_s() -> None:
+def test_dial_whose_socket_cannot_be_registered_is_cleaned_up_and_not_blamed_on_the_backend() -> None:
     with listener() as hop:
         wired = Wired(hop.getsockname())
         client = wired.ask("aa01")
-        wired.at.loop.epoll = Failing(wired.at.loop.epoll, 3)  # type: ignore[assignment]
+        wired.at.loop.epoll = FailingEpoll(wired.at.loop.epoll, 3)  # type: ignore[assignment]
         wired.send()
         run_until(wired.at.loop, lambda: wired.at.ended)
         assert [outcome for _, outcome in wired.at.ended] == [Outcome.MOOT]
         assert wired.hops.connections == 0
         assert not wired.hops.hops["s-1"].connections
-        wired.send()  # and the next one goes well
+        wired.send()  # the next one succeeds
         wired.accept(hop).close()
         client.close()
         wired.at.close()
 
 
-def test_a_watch_that_cannot_be_waited_on_is_opened_again() -> None:
+def test_watch_whose_socket_cannot_be_registered_is_reopened() -> None:
     log: list[str] = []
     loop = Loop(log.append)
-    loop.epoll = Failing(loop.epoll, 3)  # type: ignore[assignment]
+    loop.epoll = FailingEpoll(loop.epoll, 3)  # type: ignore[assignment]
     with listener() as agent:
         routes = RouteWatch(loop, log.append, agent.getsockname(), (), 3, lambda told: None, Random(1))
         routes.connect()
@@ -347,10 +346,10 @@
     loop.epoll.close()
 
 
-def test_a_call_of_the_counter_that_cannot_be_waited_on_has_added_nothing() -> None:
+def test_counter_call_whose_socket_cannot_be_registered_adds_nothing() -> None:
     log: list[str] = []
     loop, ends = Loop(log.append), list[Counted]()
-    loop.epoll = Failing(loop.epoll, 3)  # type: ignore[assignment]
+    loop.epoll = FailingEpoll(loop.epoll, 3)  # type: ignore[assignment]
     with listener() as counter:
         client = Client(loop, log.append, counter.getsockname())
         client.add("a", 1.0, 1.0, ends.append)
@@ -363,7 +362,7 @@
     loop.epoll.close()
 
 
-def test_the_operators_listener_outlives_a_fault_of_its_coroutine(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_operator_listener_survives_an_exception(monkeypatch: pytest.MonkeyPatch) -> None:
     log: list[str] = []
     loop = Loop(log.append)
     server = Server(loop, log.append, ("127.0.0.1", 0), lambda method, target: Answer(200, "yes"))
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -1,4 +1,4 @@
-"""Long values and bodies: passed on in pieces, in bounded memory, whole or plainly cut."""
+"""Long values and bodies are forwarded in pieces within bounded memory, and a cut is always recognizable."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     st.lists(st.tuples(st.booleans(), st.integers(1, 70_000)), max_size=60),
     st.integers(1, 8),
 )
-def test_a_pipe_gives_what_it_was_given_and_holds_no_more_than_its_room(
+def test_flow_preserves_bytes_and_stays_within_its_window(
     size: int, steps: list[tuple[bool, int]], others: int
 ) -> None:
     flows, resumed, got, sent = FlowBudget(300_000), [0], bytearray(), 0
@@ -59,7 +59,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(["add", "end", "leave"]), st.integers(1, 120)), max_size=60))
-def test_room_for_bodies_is_given_in_turn_never_beyond_the_budget_and_always_at_last(
+def test_memory_is_granted_in_order_within_the_budget_and_eventually(
     steps: list[tuple[str, int]],
 ) -> None:
     bodies, waiting, held = MemoryBudget(100), deque[int](), dict[int, int]()
@@ -83,14 +83,14 @@
             bodies.cancel(gone)
         assert bodies.used == sum(held.values())
         assert bodies.used <= 100 or len(held) == 1
-        assert not waiting or held  # nobody waits for nobody
+        assert not waiting or held  # nobody waits while nothing is reserved
     while held:
         bodies.release(held.popitem()[1])
     assert not waiting
 
 
 class Rig:
-    """A next-hop side and a caller side in one loop; the test is the next hop and the caller."""
+    """Next-hop side and client side in one loop; the test plays the next hop and the client."""
 
     def __init__(self) -> None:
         self.at, self.hop = Recorder(), listener()
@@ -101,14 +101,14 @@
         self.side.ready = True
         route = Route("s-1", self.hop.getsockname()[:2], "z1", "std", 0, Phase.SERVING, 1.0, None)
         self.hops.update_routes(RouteSet(1, True, (route,)))
-        self.caller = socket.create_connection(self.side.address)
-        self.caller.setblocking(False)
+        self.client = socket.create_connection(self.side.address)
+        self.client.setblocking(False)
         self.got = bytearray()
 
     def until(self, met: Any) -> None:
         def read() -> Any:
             try:
-                while data := self.caller.recv(65536):
+                while data := self.client.recv(65536):
                     self.got.extend(data)
                 self.closed = True
             except BlockingIOError:
@@ -121,7 +121,7 @@
         run_until(self.at.loop, read)
 
     def ask(self, text: bytes = b"") -> socket.socket:
-        self.caller.sendall(text or command("aa01"))
+        self.client.sendall(text or command("aa01"))
         self.until(lambda: self.at.opened)
         self.at.exchange.send(self.at.opened[-1].name, "s-1", None)
         self.at.loop.call_later(0, int)
@@ -131,12 +131,12 @@
         return sock
 
     def close(self) -> None:
-        self.caller.close()
+        self.client.close()
         self.hop.close()
         self.at.close()
 
 
-def test_a_long_value_is_the_answer_from_its_first_bytes_on_whatever_the_deadline_says() -> None:
+def test_long_value_that_has_begun_is_delivered_after_the_deadline() -> None:
     rig = Rig()
     hop = rig.ask(command("aa01", d=300))
     hop.sendall(REPLY[:200])
@@ -154,7 +154,7 @@
     rig.until(lambda: rig.at.exchange.open_count == 0)
     assert [outcome for _, outcome in rig.at.ended] == [Outcome.MOOT, Outcome.OK]
     assert (rig.at.exchange.ends["look"].succeeded, rig.hops.flows.open) == (1, 0)
-    rig.caller.sendall(command("aa02"))  # both connections go on
+    rig.client.sendall(command("aa02"))  # both connections remain usable
     rig.until(lambda: len(rig.at.opened) == 2)
     rig.at.exchange.send(rig.at.opened[1].name, "s-1", None)
     read_until(hop, b"first=0\r\n")
@@ -165,15 +165,15 @@
 
 @settings(max_examples=25, deadline=None)
 @given(st.one_of(st.integers(12, len(REPLY) - 1), st.integers(len(REPLY) - 40, len(REPLY) - 1)))
-def test_a_value_cut_at_any_byte_is_seen_to_be_cut(cut: int) -> None:
+def test_value_cut_at_any_byte_is_recognized_as_cut(cut: int) -> None:
     rig = Rig()
     hop = rig.ask()
     hop.sendall(REPLY[:cut])
     hop.close()
     rig.until(lambda: rig.at.ended)
-    value = REPLY[4 : 4 + len(LONG) + 11]  # with its head and its end
+    value = REPLY[4 : 4 + len(LONG) + 11]  # with its length line and terminator
     whole = cut >= 4 + len(value)
-    if whole:  # what follows a value is no part of it
+    if whole:  # the value is complete without the parts behind it
         rig.until(lambda: len(rig.got) == len(value))
     elif rig.at.began:
         rig.until(lambda: rig.closed)
@@ -185,13 +185,13 @@
     rig.close()
 
 
-class Behind(Rig):
-    """A client that pipelines a request for a long value, and others behind it; each backend call is open."""
+class PipelinedRig(Rig):
+    """A client that pipelines a request for a long value and others behind it; all are at backends."""
 
     def __init__(self, behind: int) -> None:
         super().__init__()
         texts = [command(f"aa{n:02}") for n in range(behind + 1)]
-        self.caller.sendall(b"".join(texts))
+        self.client.sendall(b"".join(texts))
         self.until(lambda: len(self.at.opened) == behind + 1)
         self.sent: list[socket.socket] = []
         for transaction in self.at.opened:
@@ -208,16 +208,14 @@
 
 @pytest.mark.parametrize("cut", [len(REPLY) // 2, len(REPLY) - 20])
 @pytest.mark.parametrize("answered_before", [True, False])
-def test_requests_read_behind_a_long_value_that_is_cut_off_are_answered(
-    cut: int, answered_before: bool
-) -> None:
-    """A value of which the connection broke took the answers of all requests behind it along.
+def test_requests_pipelined_behind_a_cut_off_long_value_are_answered(cut: int, answered_before: bool) -> None:
+    """A client pipelines requests; the first answer is a long value whose backend dies near its end.
 
-    What happens: a client pipelines; the first answer is a long value, and its backend dies near the value's
-    end. Why: its first bytes had been passed on as they came, and nothing can be written behind half a value.
-    What showed it: seeds 5 and 11 of the soak, connections that end as `cut_off` with `open=` more than one.
+    If the value's first bytes were forwarded at once, nothing could be written behind the incomplete value,
+    and the answers of all later requests would be lost. Seen in the soak test (seeds 5 and 11) as connections
+    that end as `cut_off` with `open=` above one.
     """
-    rig = Behind(2)
+    rig = PipelinedRig(2)
     long, *others = rig.sent
     if answered_before:
         for hop in others:
@@ -237,8 +235,8 @@
     rig.close()
 
 
-def test_a_long_value_with_requests_behind_it_comes_whole_and_in_order() -> None:
-    rig = Behind(2)
+def test_long_value_with_pipelined_requests_is_complete_and_in_order() -> None:
+    rig = PipelinedRig(2)
     long, *others = rig.sent
     for hop in others:
         hop.sendall(VALUE)
@@ -251,8 +249,8 @@
     rig.close()
 
 
-def test_a_long_value_that_is_late_with_requests_behind_it_fails_alone_and_in_time() -> None:
-    rig = Behind(1)
+def test_late_long_value_fails_in_time_without_affecting_later_requests() -> None:
+    rig = PipelinedRig(1)
     rig.sent[0].sendall(REPLY[:-100])
     rig.sent[1].sendall(VALUE)
     deadline = rig.at.opened[0].deadline
@@ -263,12 +261,12 @@
     rig.close()
 
 
-def test_what_comes_while_a_long_value_is_passed_on_stays_unread_until_it_is_whole() -> None:
+def test_commands_stay_unread_while_a_long_value_is_forwarded() -> None:
     rig = Rig()
     hop = rig.ask(command("aa01"))
     hop.sendall(REPLY[:-100])
     rig.until(lambda: len(rig.got) > 1000)
-    rig.caller.sendall(command("aa02"))
+    rig.client.sendall(command("aa02"))
     end = rig.at.loop.now() + 0.1
     rig.until(lambda: rig.at.loop.now() > end)
     assert len(rig.at.opened) == 1
@@ -277,8 +275,8 @@
     rig.close()
 
 
-def test_a_request_behind_a_long_value_does_not_wait_for_a_slow_client() -> None:
-    """The rest of the value is gathered at the backend's pace, and then what has come is read."""
+def test_request_behind_a_long_value_does_not_wait_for_a_slow_client() -> None:
+    """The rest of the value is buffered at the backend's pace, and then the next command is read."""
     rig = Rig()
     size = 4 * 1024 * 1024
     hop = rig.ask(command("aa01"))
@@ -287,8 +285,8 @@
     )
     writer.start()
     run_until(rig.at.loop, lambda: rig.at.began)
-    rig.caller.sendall(command("aa02"))
-    run_until(rig.at.loop, lambda: len(rig.at.opened) == 2)  # the client has taken nothing yet
+    rig.client.sendall(command("aa02"))
+    run_until(rig.at.loop, lambda: len(rig.at.opened) == 2)  # the client has read nothing yet
     assert 0 < rig.side.value_budget.used <= size
     rig.until(lambda: len(rig.got) > size)
     rig.until(lambda: rig.side.value_budget.used == 0)
@@ -296,9 +294,9 @@
     rig.close()
 
 
-def test_long_values_that_find_no_room_wait_for_their_turn() -> None:
-    """Room for one value, which another connection has: until that is free only a pipe's part is taken in."""
-    rig = Behind(1)
+def test_long_value_waits_for_memory() -> None:
+    """While another connection holds the memory, only one flow window of the value is read."""
+    rig = PipelinedRig(1)
     size = 4 * MAX_WINDOW
     rig.side.value_budget.budget = size
     taken = rig.side.value_budget.reserve("another", size, lambda: None)
@@ -320,7 +318,7 @@
     rig.close()
 
 
-def test_a_value_of_another_length_than_it_says_never_looks_whole() -> None:
+def test_value_with_a_wrong_length_never_looks_complete() -> None:
     rig = Rig()
     hop = rig.ask()
     hop.sendall(REPLY.replace(b"\r\n$-1", b"xx$-1"))
@@ -330,7 +328,7 @@
     rig.close()
 
 
-def test_a_caller_that_takes_nothing_stops_the_reading_and_one_that_leaves_ends_it() -> None:
+def test_slow_client_pauses_reading_from_the_backend_and_its_close_cancels_the_branch() -> None:
     rig = Rig()
     hop = rig.ask()
     size = 4 * 1024 * 1024
@@ -347,7 +345,7 @@
         assert flow.buffered + len(connection.unsent) <= 2 * MAX_WINDOW
     assert flow is not None
     assert flow.remaining > 0
-    rig.caller.close()
+    rig.client.close()
     run_until(rig.at.loop, lambda: rig.at.ended)
     assert rig.at.ended[0][1] is Outcome.CANCELLED
     assert (rig.at.exchange.ends["look"].gone, rig.at.exchange.open_count, rig.hops.flows.open) == (1, 0, 0)
@@ -363,8 +361,10 @@
 
 
 @pytest.mark.parametrize("memory", [32, 192])
-def test_more_long_bodies_at_once_than_memory_holds_go_through_in_turn(tmp_path: Path, memory: int) -> None:
-    """Each comes in pieces, slowly; a small request passes by meanwhile."""
+def test_long_bodies_beyond_the_memory_budget_are_served_one_after_another(
+    tmp_path: Path, memory: int
+) -> None:
+    """The bodies arrive slowly, in pieces; a small request is served meanwhile."""
     with listener() as hop:
         known = {"revision": 1, "complete": True, "members": [member(hop.getsockname())]}
         raw = with_ops(known=known, limits={"memory_mb": memory})
@@ -389,21 +389,21 @@
         with program(tmp_path, raw) as running:
             threading.Thread(target=accept, daemon=True).start()
             body = bytes(4 * 1024 * 1024 - 4) + b"body"
-            callers = [running.call() for _ in range(6)]
+            clients = [running.call() for _ in range(6)]
             texts = [command(f"aa{n}", "Q.DO", "change", body=body, d=60000) for n in range(6)]
-            for caller, text in zip(callers, texts, strict=True):
-                caller.sendall(text[:200_000])
+            for client, text in zip(clients, texts, strict=True):
+                client.sendall(text[:200_000])
             small = running.call()
             small.sendall(command("bb"))
             assert read_until(small, b"l\r\n").startswith(b"$5")
             threads = [
-                threading.Thread(target=_send, args=(caller, text[200_000:]))
-                for caller, text in zip(callers, texts, strict=True)
+                threading.Thread(target=_send, args=(client, text[200_000:]))
+                for client, text in zip(clients, texts, strict=True)
             ]
             for thread in threads:
                 thread.start()
-            for caller in callers:
-                assert read_until(caller, b"\r\n") in (b"$5\r\nva\r\n", b"$5\r\nva\r\nl\r\n")
+            for client in clients:
+                assert read_until(client, b"\r\n") in (b"$5\r\nva\r\n", b"$5\r\nva\r\nl\r\n")
             assert len(seen) == 7
             assert shown(running)["results.change.succeeded"] == 6
             peak = next(
@@ -411,29 +411,30 @@
                 for line in Path(f"/proc/{running.process.pid}/status").read_text().splitlines()
                 if line.startswith("VmHWM")
             )
-            assert peak < 26_000 + memory * 1024 // 4 + 8 * 1024  # the program, the budget, one on its way
+            # The program itself, the budget and one body being sent.
+            assert peak < 26_000 + memory * 1024 // 4 + 8 * 1024
 
 
-def test_a_body_beyond_the_limit_is_an_error_and_one_that_stalls_ends(tmp_path: Path) -> None:
+def test_oversized_and_stalled_bodies_get_an_error(tmp_path: Path) -> None:
     with program(tmp_path, config()) as running:
         for size, word in (
             (4 * 1024 * 1024 + 1, b"-ERR a value is too long"),
             (1 << 20, b"-ERR no whole command"),
         ):
-            caller = running.call()
-            caller.sendall(command("aa01", body=b"x").replace(b"$1\r\nx\r\n", b"$%d\r\nxx" % size))
-            assert read_until(caller, b"\r\n").startswith(word)
-            assert caller.recv(10) == b""
+            client = running.call()
+            client.sendall(command("aa01", body=b"x").replace(b"$1\r\nx\r\n", b"$%d\r\nxx" % size))
+            assert read_until(client, b"\r\n").startswith(word)
+            assert client.recv(10) == b""
 
 
-def test_a_head_may_take_two_seconds_and_a_body_as_long_as_it_comes(tmp_path: Path) -> None:
+def test_slow_head_and_slow_body_are_accepted_while_bytes_arrive(tmp_path: Path) -> None:
     with program(tmp_path, config()) as running:
-        caller, text = running.call(), command("aa01", body=b"b" * 20)
+        client, text = running.call(), command("aa01", body=b"b" * 20)
         head = len(text) - 22
         for place in range(20):
-            caller.sendall(text[place * head // 20 : (place + 1) * head // 20])
+            client.sendall(text[place * head // 20 : (place + 1) * head // 20])
             time.sleep(0.1)
         for place in range(head, len(text)):
-            caller.sendall(text[place : place + 1])
+            client.sendall(text[place : place + 1])
             time.sleep(0.06)
-        assert read_until(caller, b"\r\n").startswith(b"-BUSY")
+        assert read_until(client, b"\r\n").startswith(b"-BUSY")
--- a/tests/test_orderly_close.py
+++ b/tests/test_orderly_close.py
@@ -1,4 +1,4 @@
-"""Bytes that come as a connection is shut or closed cause no reset, and no request of them is sent on."""
+"""Bytes that arrive while a connection is being closed cause no reset and are not forwarded."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 VALUE = b"*3\r\n$2\r\nva\r\n$-1\r\n$-1\r\n"
 
 
-class Resting:
-    """A client whose connection rests after an answer."""
+class IdleClient:
+    """A client whose connection is idle after an answer."""
 
     def __init__(self, sent: bytes = PING) -> None:
         self.at = Recorder()
@@ -33,7 +33,7 @@
         run_until(self.at.loop, lambda: self.connection.answered or self.connection.buffer.data or not sent)
 
     def crosses(self, monkeypatch: pytest.MonkeyPatch, name: str, sent: bytes) -> None:
-        """Right after this look at the connection more comes."""
+        """Sends more bytes right after the named check of the connection has found none."""
         look: Callable[[ClientConnection], bool] = getattr(self.side, name)
 
         def looked(connection: ClientConnection) -> bool:
@@ -45,14 +45,14 @@
         monkeypatch.setattr(self.side, name, looked)
 
     def close(self) -> None:
-        """All ends."""
+        """Closes the client and the loop."""
         self.client.close()
         self.at.close()
 
 
-def test_a_request_that_crosses_the_shutdown_is_read_and_not_sent_on() -> None:
-    one = Resting()
-    one.side.evacuate(True, 1.0)  # shut now
+def test_request_arriving_after_the_write_shutdown_is_dropped() -> None:
+    one = IdleClient()
+    one.side.evacuate(True, 1.0)  # shuts down sending
     one.client.sendall(command("aa01"))
     assert read_until(one.client, b"\r\n") == b"+PONG\r\n"
     assert one.client.recv(100) == b""
@@ -64,10 +64,10 @@
 
 
 @pytest.mark.parametrize("ends", ["at the cap", "with the process"])
-def test_a_request_that_crosses_a_close_does_not_reset_the_answer_before_it(
+def test_request_arriving_during_a_close_does_not_reset_the_previous_answer(
     ends: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    one = Resting()
+    one = IdleClient()
     if ends == "at the cap":
         one.crosses(monkeypatch, "has_pending_bytes", command("aa01"))
         one.side._evict_idle()
@@ -82,10 +82,10 @@
 
 
 @pytest.mark.parametrize("sent", [b"*1\r\n$4\r\nPI", b""])
-def test_what_comes_with_the_end_of_a_stuck_connection_does_not_reset_its_reason(
+def test_bytes_arriving_as_a_stuck_connection_ends_do_not_reset_its_error(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    one = Resting(sent)
+    one = IdleClient(sent)
     one.crosses(monkeypatch, "has_pending_bytes", b"NG\r\n")
     one.connection.created_at -= FIRST_COMMAND_TIMEOUT + 1
     one.connection.stalls = MAX_READ_STALLS + 1
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("ends", ["idle", "given up"])
-def test_half_a_line_of_a_backend_that_crosses_a_close_does_not_reset_the_connection(ends: str) -> None:
+def test_partial_reply_arriving_during_a_close_does_not_reset_the_backend_connection(ends: str) -> None:
     with listener() as hop:
         wired = Wired(hop.getsockname(), cool_down=0.0)
         client = wired.ask("aa01")
@@ -117,8 +117,8 @@
         wired.at.close()
 
 
-def test_all_that_wait_to_be_accepted_are_served_as_the_listener_ends() -> None:
-    """More than are accepted in one go: the rest was reset with the listener."""
+def test_queued_connections_are_accepted_before_the_listener_closes() -> None:
+    """The queue is longer than one accept batch; the rest used to be reset with the listener."""
     at = Recorder()
     side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 500)
     side.start_serving()
@@ -130,7 +130,7 @@
     at.close()
 
 
-def test_small_writes_are_held_back_on_neither_side() -> None:
+def test_nagle_is_disabled_on_both_sides() -> None:
     with listener() as hop:
         wired = Wired(hop.getsockname())
         client = wired.ask("aa01")
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,4 +1,4 @@
-"""The codec: what is cut anywhere reads the same, and what is malformed is named."""
+"""RESP codec: parsing is independent of segmentation, and malformed input raises the codec's errors."""
 
 import pytest
 from hypothesis import given, settings
@@ -8,7 +8,7 @@
 
 ANY = st.binary(max_size=200)
 LEAVES = st.one_of(st.none(), ANY, st.integers(-1000, 1000))
-REPLIES = st.one_of(LEAVES, st.lists(LEAVES, max_size=4))  # no answer nests
+REPLIES = st.one_of(LEAVES, st.lists(LEAVES, max_size=4))  # answers contain no nested arrays
 
 
 def encoded(reply: resp.Reply) -> bytes:
@@ -24,7 +24,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.lists(ANY, min_size=1, max_size=5), max_size=4), st.integers(1, 50))
-def test_commands_read_the_same_however_they_are_cut(commands: list[list[bytes]], cut: int) -> None:
+def test_commands_are_parsed_independently_of_segmentation(commands: list[list[bytes]], cut: int) -> None:
     data = b"".join(b"*%d\r\n" % len(c) + b"".join(resp.bulk(part) for part in c) for c in commands)
     buffer, got = resp.Buffer(), []
     for at in range(0, len(data), cut):
@@ -37,7 +37,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(REPLIES, st.integers(1, 50))
-def test_replies_read_the_same_however_they_are_cut(reply: resp.Reply, cut: int) -> None:
+def test_replies_are_parsed_independently_of_segmentation(reply: resp.Reply, cut: int) -> None:
     data, buffer = encoded(reply), resp.Buffer()
     for at in range(0, len(data), cut):
         buffer.feed(data[at : at + cut])
@@ -48,7 +48,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.binary(max_size=60), st.sampled_from([b"", b"*", b"*1\r\n$", b"*2\r\n$4\r\nPING\r\n"]))
-def test_no_bytes_make_the_codec_fail_otherwise(noise: bytes, start: bytes) -> None:
+def test_codec_raises_only_its_own_errors(noise: bytes, start: bytes) -> None:
     for read in (resp.Buffer.command, resp.Buffer.reply):
         buffer = resp.Buffer()
         buffer.feed(start + noise)
@@ -65,12 +65,12 @@
 OPTIONS = b"c=look,t=plain,d=480,k=x,units=2,spread=3,first=1"
 
 
-def ask(options: bytes, customer: bytes = b"00000000b4d65521") -> resp.Ping | resp.Ask:
-    return resp.decode_command([b"Q.DO", customer, b"9b1f03aa5c7e2d41", options, b"BODY"])
+def ask(options: bytes, tenant: bytes = b"00000000b4d65521") -> resp.Ping | resp.Ask:
+    return resp.decode_command([b"Q.DO", tenant, b"9b1f03aa5c7e2d41", options, b"BODY"])
 
 
 @pytest.mark.parametrize("place", [0, 2, 6])
-def test_only_the_time_left_is_written_anew(place: int) -> None:
+def test_only_the_time_left_is_rewritten(place: int) -> None:
     pieces = [piece for piece in OPTIONS.split(b",") if piece != b"d=480"]
     pieces.insert(place, b"d=480")
     got = ask(b",".join(pieces))
@@ -98,18 +98,18 @@
         OPTIONS + b",=4",
     ],
 )
-def test_bad_options_are_refused_with_a_reason(options: bytes) -> None:
+def test_invalid_options_are_rejected(options: bytes) -> None:
     with pytest.raises(resp.CommandError):
         ask(options)
 
 
-@pytest.mark.parametrize("customer", [b"", b"b4d65521", b"0000000200000000", b"+0000000b4d65521"])
-def test_a_bad_customer_is_refused(customer: bytes) -> None:
+@pytest.mark.parametrize("tenant", [b"", b"b4d65521", b"0000000200000000", b"+0000000b4d65521"])
+def test_invalid_tenant_is_rejected(tenant: bytes) -> None:
     with pytest.raises(resp.CommandError, match="bad customer"):
-        ask(OPTIONS, customer)
+        ask(OPTIONS, tenant)
 
 
-def test_what_next_hops_answer() -> None:
+def test_next_hop_answers_are_decoded() -> None:
     assert resp.decode_answer([b"v", None, None]) == resp.Value(b"v")
     assert resp.decode_answer([b"v", b"86", b"queue=2,util=0.61"]) == resp.Value(
         b"v", 86.0, {"queue": 2.0, "util": 0.61}
@@ -119,8 +119,9 @@
         "ERR failed queue=2", {"queue": 2.0}
     )
     assert resp.decode_answer(resp.ErrorReply(b"BUSY queue=2")) == resp.BusyReply({"queue": 2.0})
-    for spoilt in (b"BUSYX", b"BUSY \xff\x00", b"BUSY queue=nan", b"busy"):  # none proves that it never ran
-        assert isinstance(resp.decode_answer(resp.ErrorReply(spoilt)), resp.FailedReply)
+    # None of these proves that the command was not run.
+    for malformed in (b"BUSYX", b"BUSY \xff\x00", b"BUSY queue=nan", b"busy"):
+        assert isinstance(resp.decode_answer(resp.ErrorReply(malformed)), resp.FailedReply)
     assert resp.decode_answer([b"v", b"\xff", b"queue=nan,util=inf,=3,x"]) == resp.Value(b"v")
     odds: list[resp.Reply] = [None, b"v", 3, [], [None, None], resp.SimpleString(b"v")]
     for odd in odds:
@@ -129,7 +130,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"*1000000000\r\n",
         b"*3\r\n*3",
@@ -140,15 +141,15 @@
         b"$x\r\n",
     ],
 )
-def test_what_can_become_no_answer_is_told_apart_before_its_end(spoilt: bytes) -> None:
-    """Nested arrays were waited for until the request's time was up."""
+def test_impossible_answers_are_rejected_early(malformed: bytes) -> None:
+    """Nested arrays used to be read until the request timed out."""
     buffer = resp.Buffer()
-    buffer.feed(spoilt)
+    buffer.feed(malformed)
     with pytest.raises(resp.FramingError):
         buffer.reply()
 
 
-def test_refusals_say_when_to_come_back() -> None:
+def test_refusals_contain_the_retry_time() -> None:
     assert resp.busy(None) == b"-BUSY\r\n"
     assert resp.busy(0.0001) == b"-BUSY 1\r\n"
     assert resp.busy(0.5) == b"-BUSY 500\r\n"
--- a/tests/test_restart_readiness.py
+++ b/tests/test_restart_readiness.py
@@ -12,7 +12,7 @@
 from standflow.assembly import READY_AT_LATEST, Ingress
 from standflow.config import read
 from standflow.net.loop import Loop
-from tests.test_endings import Held, known
+from tests.test_endings import HangingHop, known
 from tests.wire import LIMIT, config, listener, program, read_until, run_until
 
 AT_ONCE = 20
@@ -39,7 +39,7 @@
 @contextmanager
 def unreachable() -> Iterator[Address]:
     """Connections never come up."""
-    with Held() as held:
+    with HangingHop() as held:
         yield held.sock.getsockname()
 
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS towards next hops: what is proved, how each failure ends, and that a change never runs twice."""
+"""TLS to next hops: verification, the outcome of each failure, and that no unsafe command runs twice."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 from tests.wire import LIMIT, run_until
 
 NAME = "tt-07.room-b.example.org"
-AUTHORITY = Authority()  # making keys is slow, and none of these tests wants its own
+AUTHORITY = Authority()  # shared by all tests, as generating keys is slow
 STRANGER = Authority()
 CERT = AUTHORITY.issue(NAME)
 V12, V13 = ssl.TLSVersion.TLSv1_2, ssl.TLSVersion.TLSv1_3
@@ -64,7 +64,7 @@
 
 
 class Rig:
-    """A next-hop side in TLS in front of one address, and requests through it."""
+    """A next-hop side with TLS for one address, and requests sent through it."""
 
     def __init__(self, address: tuple[str, int], using: TlsOptions) -> None:
         self.at = Recorder()
@@ -74,9 +74,11 @@
         )
         self.at.exchange.next_hops = self.side
         self.address, self.serial, self.revision = address, 0, 0
-        self.tell()
+        self.set_route()
 
-    def tell(self, up_since: float | None = None, phase: Phase = Phase.SERVING, zone: str = "room-b") -> None:
+    def set_route(
+        self, up_since: float | None = None, phase: Phase = Phase.SERVING, zone: str = "room-b"
+    ) -> None:
         self.revision += 1
         route = Route("tt-07", self.address, zone, "std", 0, phase, 1.0, up_since)
         self.side.update_routes(RouteSet(self.revision, True, (route,)))
@@ -123,9 +125,7 @@
 
 
 @pytest.mark.parametrize("newest", [V12, V13])
-def test_a_request_is_served_over_tls_and_the_next_one_on_the_same_connection(
-    tmp_path: Path, newest: ssl.TLSVersion
-) -> None:
+def test_requests_are_served_over_tls_on_one_connection(tmp_path: Path, newest: ssl.TLSVersion) -> None:
     with Box(server_context(CERT, newest=newest)) as box, rig(box.address, options(tmp_path)) as at:
         assert at.ask() is Outcome.OK
         assert at.ask("look") is Outcome.OK
@@ -137,7 +137,7 @@
         assert box.counts.connections == 1
 
 
-BAD = {
+BAD_CERTIFICATES = {
     "wrong_name": AUTHORITY.issue("tt-08.room-b.example.org"),
     "unknown_issuer": STRANGER.issue(NAME),
     "expired": AUTHORITY.issue(NAME, ends=-60.0),
@@ -148,7 +148,7 @@
 @pytest.mark.parametrize(
     ("mode", "cert", "changes", "reason"),
     [
-        *[(Mode(), cert, {}, reason) for reason, cert in BAD.items()],
+        *[(Mode(), cert, {}, reason) for reason, cert in BAD_CERTIFICATES.items()],
         (Mode(plain=True), CERT, {}, "not_tls"),
         (Mode(stall_at=0), CERT, {"handshake_timeout": 0.05}, "handshake_timeout"),
         (Mode(cut_after=200), CERT, {}, "cut_off"),
@@ -158,19 +158,19 @@
         (Mode(), AUTHORITY.issue_odd("tt-*.room-b.example.org"), {}, "wrong_name"),  # no part of a label
     ],
 )
-def test_what_does_not_prove_its_name_gets_no_byte_of_a_request(
+def test_backend_that_fails_verification_gets_no_byte_of_a_request(
     tmp_path: Path, mode: Mode, cert: Any, changes: dict[str, Any], reason: str
 ) -> None:
     using = options(tmp_path, **changes)
     with Box(server_context(cert), mode) as box, rig(box.address, using) as at:
         assert at.ask() is Outcome.CONNECT_FAILED
-        # a reset may overtake the news that the connection came up
+        # a reset may be seen before the connection is reported as established
         early = ["connect_failed:ECONNRESET"] if mode.reset_accepts else [reason]
         assert at.ends() in ([reason], early)
         assert not box.ran()
 
 
-def test_a_wildcard_stands_for_the_leftmost_label_and_cn_for_nothing(tmp_path: Path) -> None:
+def test_wildcard_matches_the_leftmost_label_and_cn_is_ignored(tmp_path: Path) -> None:
     with Box(server_context(AUTHORITY.issue("*.room-b.example.org"))) as box:
         with rig(box.address, options(tmp_path)) as at:
             assert at.ask() is Outcome.OK
@@ -180,7 +180,7 @@
             assert at.ends() == ["wrong_name"]
 
 
-def test_the_version_asked_for_and_the_protocols_offered_are_kept_to(tmp_path: Path) -> None:
+def test_minimum_version_and_alpn_are_applied(tmp_path: Path) -> None:
     with Box(server_context(CERT, newest=V12, alpn=("resp2",))) as box:
         with rig(box.address, options(tmp_path, minimum="1.3")) as at:
             assert at.ask() is Outcome.CONNECT_FAILED
@@ -190,10 +190,10 @@
 
 
 @pytest.mark.parametrize("newest", [V12, V13])
-def test_a_client_certificate_is_shown_and_one_that_is_not_taken_is_a_failed_connect(
+def test_client_certificate_is_sent_and_its_rejection_is_a_failed_connect(
     tmp_path: Path, newest: ssl.TLSVersion
 ) -> None:
-    """TLS 1.3 judges it after our side of the handshake: a change written at once might count as run."""
+    """TLS 1.3 checks it after the client's handshake: a command written at once might count as run."""
     with Box(server_context(CERT, clients=AUTHORITY, newest=newest)) as box:
         chain, key = AUTHORITY.write(tmp_path, AUTHORITY.issue("ingress.example.org"))
         with rig(box.address, options(tmp_path, certificate=str(chain), key=str(key))) as at:
@@ -207,7 +207,7 @@
 
 
 @pytest.mark.parametrize(("newest", "reason"), [(V12, "alert:40"), (V13, "alert:116")])
-def test_a_server_that_asks_for_a_certificate_where_there_is_none_is_a_failed_connect(
+def test_missing_client_certificate_is_a_failed_connect(
     tmp_path: Path, newest: ssl.TLSVersion, reason: str
 ) -> None:
     with Box(server_context(CERT, clients=AUTHORITY, newest=newest)) as box:
@@ -221,13 +221,13 @@
     ("mode", "outcome", "reason"),
     [
         (Mode(answers=1), Outcome.OK, "peer_closed"),
-        (Mode(answers=1, notify=False), Outcome.OK, "truncated"),  # the value was whole, the end was not
+        (Mode(answers=1, notify=False), Outcome.OK, "truncated"),  # the value is complete, the end is not
         (Mode(behind=b"+more\r\n"), Outcome.OK, "unasked_bytes"),
         (Mode(alert=True), Outcome.RESET, "alert:20"),
         (Mode(split=1), Outcome.OK, None),
     ],
 )
-def test_each_end_in_tls_has_its_outcome(
+def test_outcome_of_each_way_a_tls_connection_ends(
     tmp_path: Path, mode: Mode, outcome: Outcome, reason: str | None
 ) -> None:
     with Box(server_context(CERT), mode) as box, rig(box.address, options(tmp_path)) as at:
@@ -237,7 +237,7 @@
         assert box.ran() == {"id1": 1}
 
 
-def test_a_record_that_was_spoilt_on_the_way_is_a_reset(tmp_path: Path) -> None:
+def test_corrupted_record_is_a_reset(tmp_path: Path) -> None:
     listener = socket.create_server(("127.0.0.1", 0))
 
     def serve() -> None:
@@ -258,7 +258,7 @@
     thread.join(LIMIT)
 
 
-def test_a_cut_at_any_byte_never_lets_a_change_that_ran_look_as_if_it_had_not(tmp_path: Path) -> None:
+def test_cut_at_any_byte_never_makes_an_executed_command_look_unsent(tmp_path: Path) -> None:
     with Box(server_context(CERT, tickets=1)) as box, Relay(box.address) as relay:
         using = options(tmp_path, sessions=0)
 
@@ -284,7 +284,7 @@
                 assert outcome is not Outcome.OK or ran == 1, (way, byte)
                 assert outcome is not Outcome.ERROR, (way, byte, reason)
                 seen.add((way, outcome, ran))
-        # every kind of end was met: in the handshake, in the command, in the answer, behind it
+        # all kinds of ends occurred: in the handshake, in the command, in the answer and behind it
         assert {("up", Outcome.CONNECT_FAILED, 0), ("up", Outcome.RESET, 0)} <= seen
         assert {
             ("down", Outcome.CONNECT_FAILED, 0),
@@ -293,8 +293,8 @@
         } <= seen
 
 
-def test_a_command_whose_last_ciphertext_byte_is_not_written_has_not_run(tmp_path: Path) -> None:
-    """Encrypted is not sent: only the socket's bytes count."""
+def test_command_without_its_last_ciphertext_byte_has_not_run(tmp_path: Path) -> None:
+    """Encrypted bytes are not sent bytes: only those that the socket has taken count."""
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     listener.bind(("127.0.0.1", 0))
@@ -327,8 +327,8 @@
         assert branch.ended is Outcome.CONNECT_FAILED
 
 
-def test_a_long_body_lies_in_memory_once_and_comes_whole(tmp_path: Path) -> None:
-    """It is encrypted as the socket takes it, one piece at a time, and no piece is lost or doubled."""
+def test_long_body_is_kept_in_memory_only_once_and_arrives_complete(tmp_path: Path) -> None:
+    """The body is encrypted piece by piece as the socket takes it; no piece is lost or duplicated."""
     body = b"".join(b"%07d " % n for n in range(1 << 19))
     held: list[bytes] = []
     go = threading.Event()
@@ -364,8 +364,8 @@
         assert peak < len(body) // 4
 
 
-class Scripted:
-    """A next hop whose end of one connection the test itself plays, in turns with the loop."""
+class ScriptedHop:
+    """A next hop whose side of one connection is played by the test, alternating with the loop."""
 
     def __init__(self, folder: Path, tickets: int) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -375,7 +375,7 @@
         self.wire: Wire
 
     def met(self, at: Rig) -> RecordWriter:
-        """Takes the connection and handshakes; what writes its records by hand from then on."""
+        """Accepts the connection and does the handshake. Returns a writer for hand-made records."""
         self.wire = Wire(self.listener.accept()[0], self.context)
         thread = threading.Thread(target=self.wire.handshake)
         thread.start()
@@ -386,7 +386,7 @@
         run_until(at.at.loop, lambda: branch.carrier is None or branch.carrier.fully_written)
         return self.wire.read()
 
-    def __enter__(self) -> Scripted:
+    def __enter__(self) -> ScriptedHop:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -398,25 +398,25 @@
 
 
 @pytest.mark.parametrize("requested", [False, True])
-def test_key_updates_come_before_behind_and_between_answers(tmp_path: Path, requested: bool) -> None:
-    with Scripted(tmp_path, 0) as hop, rig(hop.listener.getsockname(), options(tmp_path)) as at:
+def test_key_updates_around_answers_are_handled(tmp_path: Path, requested: bool) -> None:
+    with ScriptedHop(tmp_path, 0) as hop, rig(hop.listener.getsockname(), options(tmp_path)) as at:
         branch = at.send()
         writer = hop.met(at)
         for serial in range(4):
-            assert b"id%d" % (serial + 1) in hop.command(at, branch)  # also under the keys asked for
+            assert b"id%d" % (serial + 1) in hop.command(at, branch)  # also with the updated keys
             before = writer.update(requested) if serial % 2 else b""
             hop.wire.put(before + writer.record(DATA, VALUE[:4]) + writer.update(requested))
             hop.wire.put(writer.record(DATA, VALUE[4:]) + writer.update(requested))
             run_until(at.at.loop, lambda branch=branch: branch.ended is not None)  # type: ignore[misc]
             assert branch.ended is Outcome.OK
-            hop.wire.put(writer.update(requested))  # it lies unread when the next command is due
+            hop.wire.put(writer.update(requested))  # unread when the next command is written
             branch = at.send()
         assert not at.ends()
 
 
-def test_a_ticket_that_comes_late_is_kept_and_no_answer(tmp_path: Path) -> None:
-    """NewSessionTicket (RFC 8446, 4.6.1) while the connection is idle and while an answer is on its way."""
-    with Scripted(tmp_path, 0) as hop, rig(hop.listener.getsockname(), options(tmp_path)) as at:
+def test_late_ticket_is_stored_and_not_taken_for_an_answer(tmp_path: Path) -> None:
+    """NewSessionTicket (RFC 8446, 4.6.1) arrives while the connection is idle and within an answer."""
+    with ScriptedHop(tmp_path, 0) as hop, rig(hop.listener.getsockname(), options(tmp_path)) as at:
         first = at.send()
         writer = hop.met(at)
         hop.command(at, first)
@@ -436,17 +436,17 @@
         assert at.ends() == []
 
 
-def test_what_openssl_has_to_say_of_its_own_does_not_count_as_the_command(tmp_path: Path) -> None:
-    """An alert behind a command that is half written: it is whole when its own last byte is out."""
-    with Scripted(tmp_path, 0) as hop, rig(hop.listener.getsockname(), options(tmp_path)) as at:
+def test_bytes_sent_by_openssl_itself_do_not_count_as_the_command(tmp_path: Path) -> None:
+    """An alert follows a partly written command, which is fully written once its own last byte is sent."""
+    with ScriptedHop(tmp_path, 0) as hop, rig(hop.listener.getsockname(), options(tmp_path)) as at:
         branch = at.send()
         hop.met(at)
         hop.command(at, branch)
         stream: Any = branch.carrier.connection.stream
         socket_before, room, sent = stream.sock, [0], []
 
-        class Narrow:
-            """Takes as many bytes as there is room for."""
+        class LimitedSocket:
+            """A socket that takes at most `room` bytes."""
 
             def send(self, data: bytes) -> int:
                 if not room[0]:
@@ -459,7 +459,7 @@
             def recv(self, size: int) -> bytes:
                 return b"\x17\x03\x03\x00\x20" + bytes(32)  # a record that can't be read
 
-        stream.sock = Narrow()
+        stream.sock = LimitedSocket()
         room[0] = 10
         stream.write(b"c" * 100)
         whole = 100 + 5 + 1 + 16  # header, type and tag of the record (RFC 8446, 5.2)
@@ -478,13 +478,13 @@
         stream.sock = socket_before
 
 
-def test_a_pooled_connection_that_has_ended_gets_no_command(tmp_path: Path) -> None:
+def test_pooled_connection_that_has_ended_gets_no_command(tmp_path: Path) -> None:
     for notify in (True, False):
         mode = Mode(answers=1, notify=notify)
         with Box(server_context(CERT), mode) as box, rig(box.address, options(tmp_path)) as at:
             assert at.ask() is Outcome.OK
             box.mode = Mode()
-            # the end has come, and the loop has not seen it yet
+            # the connection has ended, but the loop has not seen it yet
             run_until(at.at.loop, lambda box=box: box.counts.open == 0)  # type: ignore[misc]
             assert at.ask() is Outcome.OK
             assert box.ran() == {"id1": 1, "id2": 1}
@@ -494,7 +494,7 @@
 
 
 @pytest.mark.parametrize("newest", [V12, V13])
-def test_sessions_are_taken_up_again_and_forgotten_when_they_prove_nothing(
+def test_sessions_are_resumed_and_dropped_when_no_longer_valid(
     tmp_path: Path, newest: ssl.TLSVersion
 ) -> None:
     with Box(server_context(CERT, newest=newest)) as box, rig(box.address, options(tmp_path)) as at:
@@ -508,26 +508,28 @@
         assert again() == (1, 1)
         assert again() == (1, 2)
         assert (box.counts.full, box.counts.resumed) == (1, 2)
-        at.tell(up_since=5.0)  # another process
+        at.set_route(up_since=5.0)  # another process
         assert again() == (2, 2)
         assert again() == (2, 3)
         box.forget_sessions(server_context(CERT, newest=newest))
         held = at.streams.sessions.by_hop["tt-07"]
-        held[1].appendleft(held[1][-1])  # as another connection would have left one
+        held[1].appendleft(held[1][-1])  # as if stored by another connection
         before = at.streams.sessions.count("tt-07")
         assert again() == (3, 3)  # declined: a full handshake on the same connection
         assert at.streams.declined == 1
-        assert (before, at.streams.sessions.count("tt-07")) == (2, 1)  # the other was worth nothing either
+        assert (before, at.streams.sessions.count("tt-07")) == (2, 1)  # the other one was dropped as well
         assert again() == (3, 4)
         at.streams.reload(at.streams.options)  # material of another generation
         assert again() == (4, 4)
-        at.tell(up_since=5.0, zone="room-c")  # another name is to be proved: what proved the old one won't do
+        at.set_route(
+            up_since=5.0, zone="room-c"
+        )  # the expected name changes: the old session must not be used
         at.drop()
         assert at.ask() is Outcome.CONNECT_FAILED
         assert at.ends()[-1] == "wrong_name"
 
 
-def test_a_ticket_of_tls_1_3_is_used_once_and_the_store_is_bounded() -> None:
+def test_tls_1_3_tickets_are_used_once_and_the_store_is_bounded() -> None:
     store = Sessions(2, 60.0)
     where = (("127.0.0.1", 1), None, NAME, 1)
     for session in ("a", "b", "c"):
@@ -535,10 +537,10 @@
     assert store.count("s") == 2
     assert [store.take("s", where, 1.0) for _ in range(3)] == ["c", "b", None]
     store.put("s", where, "d", 0.0, 10.0, single_use=True)
-    assert store.take("s", where, 10.0) is None  # its life as told
+    assert store.take("s", where, 10.0) is None  # the ticket's lifetime
     store.put("s", where, "e", 0.0, 1e6, single_use=False)
     assert store.take("s", where, 59.0) == store.take("s", where, 59.0) == "e"
-    assert store.take("s", where, 60.0) is None  # and ours at most
+    assert store.take("s", where, 60.0) is None  # the configured maximum
     for changed in (
         (("127.0.0.2", 1), None, NAME, 1),
         (where[0], 7.0, NAME, 1),
@@ -556,7 +558,7 @@
     assert empty.count("s") == 0
 
 
-def test_names_come_from_the_table_then_from_the_first_rule_that_fits(tmp_path: Path) -> None:
+def test_names_come_from_the_table_then_from_the_first_matching_rule(tmp_path: Path) -> None:
     using = options(
         tmp_path,
         names={"tt-01": "one.example.org"},
@@ -569,7 +571,7 @@
     assert name_for(using, "tt-02", "x", "big-1") == "big.x.example.org"
     assert name_for(using, "TT-02", "room-b", "k") == "tt-02.k.example.org"
     assert name_for(using, "tt-02", "room-bb", "k") is None
-    assert name_for(using, "tt_02", "room-b", "k") is None  # no name that a certificate could prove
+    assert name_for(using, "tt_02", "room-b", "k") is None  # not a valid host name
 
 
 # Material.
@@ -580,7 +582,7 @@
     return options(folder, certificate=str(chain), key=str(key))
 
 
-def test_a_set_is_taken_whole_with_the_days_that_are_left(tmp_path: Path) -> None:
+def test_material_is_loaded_with_its_expiry(tmp_path: Path) -> None:
     using = replace(own(tmp_path, AUTHORITY.issue("i.example.org", ends=5 * 86400.0)), warn=14 * 86400.0)
     made = material.load(using, 3)
     assert (made.generation, made.has_client_certificate) == (3, True)
@@ -648,14 +650,14 @@
 
 
 @pytest.mark.parametrize(("said", "made"), SETS.items(), ids=SETS)
-def test_a_bad_set_is_named_with_file_and_reason(tmp_path: Path, said: str, made: Any) -> None:
+def test_invalid_material_is_reported_with_file_and_reason(tmp_path: Path, said: str, made: Any) -> None:
     using = made(tmp_path)
     with pytest.raises(MaterialError) as caught:
         material.load(using, 1)
     assert said in str(caught.value)
 
 
-def test_expired_roots_are_left_out_and_none_that_holds_is_a_fault(tmp_path: Path) -> None:
+def test_expired_roots_are_ignored_unless_no_valid_one_is_left(tmp_path: Path) -> None:
     made = material.load(options(tmp_path), 1)
     late = datetime(9999, 1, 1, tzinfo=UTC)
     with pytest.raises(MaterialError, match="none of its 1 roots is valid now"):
@@ -663,29 +665,29 @@
     assert made.warnings == ()
 
 
-def test_a_watch_takes_a_new_set_up_once_it_is_whole_and_keeps_the_old_one_else(tmp_path: Path) -> None:
+def test_file_watch_loads_only_complete_material(tmp_path: Path) -> None:
     using = replace(own(tmp_path), watch=0.02)
     with Box(server_context(CERT, clients=AUTHORITY)) as box, rig(box.address, using) as at:
         told: list[int] = []
         at.streams.on_change = told.append
         assert at.ask() is Outcome.OK
         AUTHORITY.write(tmp_path, AUTHORITY.issue("new.example.org"), "other")
-        (tmp_path / "other.pem").replace(tmp_path / "ingress.pem")  # the key comes later
+        (tmp_path / "other.pem").replace(tmp_path / "ingress.pem")  # the key is replaced later
         run_until(at.at.loop, lambda: any("does not fit" in line for line in at.at.log))
         assert at.streams.generation == 1
         at.drop()
-        assert at.ask() is Outcome.OK  # on the set before
+        assert at.ask() is Outcome.OK  # with the previous material
         (tmp_path / "other.key").replace(tmp_path / "ingress.key")
         run_until(at.at.loop, lambda: at.streams.generation == 2)
         assert told == [2]
-        assert sum("does not fit" in line for line in at.at.log) == 1  # said once, not at every look
+        assert sum("does not fit" in line for line in at.at.log) == 1  # logged once, not at every check
         at.drop()
         assert at.ask() is Outcome.OK
-        assert at.streams.resumed == 1  # a session of the old set is not taken up with the new one
+        assert at.streams.resumed == 1  # no session of the old material is resumed with the new one
 
 
-def test_files_that_change_one_after_the_other_are_read_when_both_are_there(tmp_path: Path) -> None:
-    """Read in between, they would be a bad set, and complained of at each change of certificates."""
+def test_files_replaced_one_by_one_are_loaded_together(tmp_path: Path) -> None:
+    """Reading them in between would log an error at each certificate renewal."""
     at = Recorder()
     streams = TlsStreams(at.loop, at.log.append, own(tmp_path))
     AUTHORITY.write(tmp_path, AUTHORITY.issue("new.example.org"), "other")
@@ -704,7 +706,7 @@
 
 
 class Peer:
-    """The next hop's end in TLS, with the calls of a socket that the model uses."""
+    """The next hop's side of a TLS connection, with the socket methods that the model uses."""
 
     def __init__(self, wire: Wire) -> None:
         self.wire = wire
@@ -724,7 +726,7 @@
 
 
 class TlsNextHopModel(NextHopModel):
-    """The plain model's steps, each over TLS."""
+    """The steps of the plain model over TLS."""
 
     @initialize()
     def start(self) -> None:
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -1,4 +1,4 @@
-"""The whole program by the operator's file, with boxes that speak TLS."""
+"""The whole program with an operator's configuration file and backends that use TLS."""
 
 from __future__ import annotations
 
@@ -69,20 +69,20 @@
 
 
 def until_counted(box: Box, handshakes: int) -> None:
-    """Waits until the box, whose side of a handshake ends after the client's, has counted so many."""
+    """Waits for the box's handshake counter, as its side of a handshake ends after the client's."""
     end = time.monotonic() + LIMIT
     while box.counts.full != handshakes:
         assert time.monotonic() < end, box.counts
         time.sleep(0.01)
 
 
-def test_a_request_is_served_over_verified_tls_by_a_connection_made_ready_ahead(tmp_path: Path) -> None:
+def test_request_is_served_over_verified_tls_on_a_connection_opened_ahead(tmp_path: Path) -> None:
     with Box(server_context(CERT)) as box, running(write(tmp_path, box)) as program:
         program.logged("handshakes: next hop tt-07 is ready and shown")
-        until_counted(box, 1)  # before anything was asked
-        caller = program.call()
-        caller.sendall(command("aa01", "Q.DO", "change"))
-        assert read_until(caller, b"aa01\r\n") == b"$8\r\nran aa01\r\n"
+        until_counted(box, 1)  # before any request
+        client = program.call()
+        client.sendall(command("aa01", "Q.DO", "change"))
+        assert read_until(client, b"aa01\r\n") == b"$8\r\nran aa01\r\n"
         assert box.ran() == {"aa01": 1}
         assert box.counts.connections == 1
         program.terminate()
@@ -91,21 +91,21 @@
         program.logged(r"tls: handshakes full=1 resumed=0 share=0\.00 failed=0 declined=0")
 
 
-def test_a_box_that_does_not_prove_its_name_is_never_shown_and_refused_at_once(tmp_path: Path) -> None:
+def test_backend_with_a_wrong_name_is_not_shown_until_it_is_fixed(tmp_path: Path) -> None:
     wrong = AUTHORITY.issue("tt-08.room-b.example.org")
     with Box(server_context(wrong)) as box, running(write(tmp_path, box)) as program:
         program.logged("end nexthop tt-07 wrong_name")
-        caller = program.call()
-        caller.sendall(command("aa01", "Q.DO", "change"))
-        assert read_until(caller, b"\r\n").startswith(b"-BUSY ")
+        client = program.call()
+        client.sendall(command("aa01", "Q.DO", "change"))
+        assert read_until(client, b"\r\n").startswith(b"-BUSY ")
         assert not box.ran()
-        box.forget_sessions(server_context(CERT))  # it is mended: the next try after the pause finds out
+        box.forget_sessions(server_context(CERT))  # fixed: the next attempt after the pause succeeds
         program.logged("next hop tt-07 is ready and shown")
-        caller.sendall(command("aa02", "Q.DO", "change"))
-        assert read_until(caller, b"aa02\r\n") == b"$8\r\nran aa02\r\n"
+        client.sendall(command("aa02", "Q.DO", "change"))
+        assert read_until(client, b"aa02\r\n") == b"$8\r\nran aa02\r\n"
 
 
-def test_sighup_takes_new_material_up_and_a_bad_set_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_loads_new_material_and_ignores_invalid_material(tmp_path: Path) -> None:
     with Box(server_context(CERT)) as box:
         path = write(tmp_path, box)
         with running(path) as program:
@@ -113,19 +113,19 @@
             (tmp_path / "roots.pem").write_text("no roots")
             program.process.send_signal(signal.SIGHUP)
             program.logged(r"tls: .*roots\.pem: no PEM file of certificates; the set before stays in use")
-            caller = program.call()
-            caller.sendall(command("aa01"))
-            assert read_until(caller, b"aa01\r\n") == b"$8\r\nran aa01\r\n"
+            client = program.call()
+            client.sendall(command("aa01"))
+            assert read_until(client, b"aa01\r\n") == b"$8\r\nran aa01\r\n"
             AUTHORITY.write_roots(tmp_path, Authority())
             program.process.send_signal(signal.SIGHUP)
             program.logged("tls: set 2 in use")
-            program.logged("end nexthop tt-07 rotated served=1")  # once another one is ready
-            caller.sendall(command("aa02"))
-            assert read_until(caller, b"aa02\r\n") == b"$8\r\nran aa02\r\n"
+            program.logged("end nexthop tt-07 rotated served=1")  # after another connection is ready
+            client.sendall(command("aa02"))
+            assert read_until(client, b"aa02\r\n") == b"$8\r\nran aa02\r\n"
             assert box.counts.full == 2
 
 
-def test_material_that_can_not_be_used_ends_the_start(tmp_path: Path) -> None:
+def test_startup_fails_on_unusable_material(tmp_path: Path) -> None:
     with Box(server_context(CERT)) as box:
         path = write(tmp_path, box)
         (tmp_path / "roots.pem").unlink()
@@ -144,12 +144,12 @@
         assert CliRunner().invoke(cli.main, ["check", str(path)]).exit_code == 0
 
 
-def test_a_change_whose_connection_ends_in_the_answer_fails_and_runs_once(tmp_path: Path) -> None:
+def test_unsafe_request_fails_and_runs_once_if_the_connection_ends_in_its_answer(tmp_path: Path) -> None:
     mode = Mode(alert=True)
     with Box(server_context(CERT), mode) as box, running(write(tmp_path, box)) as program:
         program.logged("is ready and shown")
-        caller = program.call()
-        caller.sendall(command("aa01", "Q.DO", "change"))
-        assert read_until(caller, b"\r\n") == b"-ERR failed\r\n"
+        client = program.call()
+        client.sendall(command("aa01", "Q.DO", "change"))
+        assert read_until(client, b"\r\n") == b"-ERR failed\r\n"
         program.logged("end nexthop tt-07 alert:20")
         assert box.ran() == {"aa01": 1}
