--- a/tests/test_always_answered.py
+++ b/tests/test_always_answered.py
@@ -171,26 +171,26 @@
     """Nothing that ended badly is still counted as open."""
     with listener() as hop:
         wired = Wired(hop.getsockname(), cool_down=0.0)
-        wired.at.exchange.max_open = 2
+        wired.recorder.exchange.max_open = 2
         for number in range(12):
-            client, ended = wired.ask(f"aa{number:02}"), len(wired.at.ended)
+            client, ended = wired.ask(f"aa{number:02}"), len(wired.recorder.ended)
             wired.send()
             at_backend = wired.accept(hop)
             if number % 4 == 0:
                 client.close()
-                run_until(wired.at.loop, lambda: wired.at.exchange.open_count == 0)
+                run_until(wired.recorder.loop, lambda: wired.recorder.exchange.open_count == 0)
             if number % 4 != 1:
                 at_backend.sendall((b"-BUSY\r\n", b"", b"*9\r\n", b"-ERR failed\r\n")[number % 4])
             at_backend.close()
-            run_until(wired.at.loop, lambda: len(wired.at.ended) > ended)  # noqa: B023
-            wired.at.exchange.fail(wired.at.opened[-1].name)
+            run_until(wired.recorder.loop, lambda: len(wired.recorder.ended) > ended)  # noqa: B023
+            wired.recorder.exchange.fail(wired.recorder.opened[-1].name)
             client.close()
-            run_until(wired.at.loop, lambda: not wired.hops.connections)
+            run_until(wired.recorder.loop, lambda: not wired.hops.connections)
         assert wired.hops.forwards == 12
-        assert wired.at.exchange.open_count == 0
-        assert wired.at.exchange.transactions == {}
-        assert wired.at.exchange.idents == set()
-        wired.at.close()
+        assert wired.recorder.exchange.open_count == 0
+        assert wired.recorder.exchange.transactions == {}
+        assert wired.recorder.exchange.idents == set()
+        wired.recorder.close()
 
 
 @pytest.mark.parametrize("lack", ["connections", "descriptors"])
--- a/tests/test_attempt_time.py
+++ b/tests/test_attempt_time.py
@@ -27,7 +27,7 @@
     def wait(self) -> None:
         """Lets time pass while the loop runs."""
         end = time.monotonic() + WAIT
-        run_until(self.wired.at.loop, lambda: time.monotonic() > end)
+        run_until(self.wired.recorder.loop, lambda: time.monotonic() > end)
 
     def left(self) -> float:
         """Upper limit of the remaining time in milliseconds, counted from when the request was opened."""
@@ -44,7 +44,7 @@
             data += sock.recv(65536)
         return data.endswith(b"first=0\r\n")
 
-    run_until(wired.at.loop, whole)
+    run_until(wired.recorder.loop, whole)
     match = re.search(rb",d=(\d+)", data)
     assert match is not None
     return float(match[1])
@@ -62,7 +62,7 @@
         assert next_time_limit(wired, at_backend) <= left
         for sock in (asked.client, at_backend):
             sock.close()
-        wired.at.close()
+        wired.recorder.close()
 
 
 def test_retry_gets_at_most_the_remaining_time() -> None:
@@ -74,7 +74,7 @@
         next_time_limit(wired, first)
         asked.wait()
         first.sendall(b"-BUSY\r\n")
-        run_until(wired.at.loop, lambda: wired.at.ended)
+        run_until(wired.recorder.loop, lambda: wired.recorder.ended)
         left = asked.left()
         wired.send(2 * TIME_MS / 1000)  # on the existing connection
         assert next_time_limit(wired, first) <= left
@@ -85,34 +85,34 @@
         assert next_time_limit(wired, second) <= left
         for sock in (asked.client, first, second):
             sock.close()
-        wired.at.close()
+        wired.recorder.close()
 
 
 def test_wait_to_be_accepted_counts_against_the_time_left() -> None:
     """At the connection limit nobody is accepted while all connections have open requests."""
-    at = Recorder()
-    side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 1)
+    recorder = Recorder()
+    side = ClientSide(recorder.loop, recorder.log.append, recorder.exchange, ("127.0.0.1", 0), 1)
     side.start_serving()
     clients = [socket.create_connection(side.address) for _ in range(3)]
 
     def accepted(opened: int) -> None:
-        run_until(at.loop, lambda: len(at.opened) == opened)
+        run_until(recorder.loop, lambda: len(recorder.opened) == opened)
 
     clients[0].sendall(command("aa01", d=TIME_MS))
     accepted(1)
     clients[1].sendall(command("aa02", d=TIME_MS))
-    sent = at.loop.now()
+    sent = recorder.loop.now()
     end = sent + WAIT
-    run_until(at.loop, lambda: at.loop.now() > end)
+    run_until(recorder.loop, lambda: recorder.loop.now() > end)
     clients[0].close()
     accepted(2)
-    assert at.opened[1].deadline - TIME_MS / 1000 <= sent
+    assert recorder.opened[1].deadline - TIME_MS / 1000 <= sent
     clients[1].close()
     # The third client is accepted and has sent nothing.
-    run_until(at.loop, lambda: len(at.gone) == 2 and side.connections)
-    earliest = at.loop.last_poll
+    run_until(recorder.loop, lambda: len(recorder.gone) == 2 and side.connections)
+    earliest = recorder.loop.last_poll
     clients[2].sendall(command("aa03", d=TIME_MS))
     accepted(3)
-    assert at.opened[2].deadline - TIME_MS / 1000 >= earliest
+    assert recorder.opened[2].deadline - TIME_MS / 1000 >= earliest
     clients[2].close()
-    at.close()
+    recorder.close()
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -49,36 +49,36 @@
     with listener() as hop:
         wired = Wired(hop.getsockname(), cool_down=0.0)
         client = wired.ask("aa01")
-        name = wired.at.opened[-1].name
+        name = wired.recorder.opened[-1].name
         wired.send()
         at_backend = wired.accept(hop)
         at_backend.sendall(b"-BUSY\r\n")
-        run_until(wired.at.loop, lambda: wired.at.ended)
+        run_until(wired.recorder.loop, lambda: wired.recorder.ended)
         leaves(client)
-        run_until_noticed(wired.at.loop, lambda: wired.at.gone)
-        assert wired.at.exchange.send(name, "s-1", None) is None
-        wired.at.loop.call_later(0.0, int)
-        wired.at.loop.run_once()
+        run_until_noticed(wired.recorder.loop, lambda: wired.recorder.gone)
+        assert wired.recorder.exchange.send(name, "s-1", None) is None
+        wired.recorder.loop.call_later(0.0, int)
+        wired.recorder.loop.run_once()
         assert not select.select([at_backend, hop], [], [], 0)[0]
         assert wired.hops.forwards == 1
         at_backend.close()
-        wired.at.close()
+        wired.recorder.close()
 
 
 def test_no_second_copy_starts_after_the_client_has_closed() -> None:
     with listener() as hop:
         wired = Wired(hop.getsockname())
         client = wired.ask("aa01")
-        name = wired.at.opened[-1].name
+        name = wired.recorder.opened[-1].name
         wired.send()
         at_backend = wired.accept(hop)
         client.close()
-        run_until_noticed(wired.at.loop, lambda: wired.at.gone)
-        wired.at.exchange.send(name, "s-1", None)
-        assert [outcome for _, outcome in wired.at.ended] == [Outcome.MOOT]
+        run_until_noticed(wired.recorder.loop, lambda: wired.recorder.gone)
+        wired.recorder.exchange.send(name, "s-1", None)
+        assert [outcome for _, outcome in wired.recorder.ended] == [Outcome.MOOT]
         assert not select.select([hop], [], [], 0)[0]
         at_backend.close()
-        wired.at.close()
+        wired.recorder.close()
 
 
 def test_module_timers_send_nothing_for_a_closed_client() -> None:
@@ -114,9 +114,14 @@
     """A client with an open request, on a connection whose reading is paused."""
 
     def __init__(self) -> None:
-        self.at = Recorder()
+        self.recorder = Recorder()
         self.side = ClientSide(
-            self.at.loop, self.at.log.append, self.at.exchange, ("127.0.0.1", 0), 10, max_bodies=100_000
+            self.recorder.loop,
+            self.recorder.log.append,
+            self.recorder.exchange,
+            ("127.0.0.1", 0),
+            10,
+            max_bodies=100_000,
         )
         self.side.start_serving()
         self.others: list[socket.socket] = []
@@ -129,27 +134,27 @@
         client.connect(self.side.address)
         client.sendall(sent)
         connections = len(self.side.connections)
-        run_until(self.at.loop, lambda: len(self.side.connections) > connections)
+        run_until(self.recorder.loop, lambda: len(self.side.connections) > connections)
         self.others.append(client)
         return client
 
     def ask(self, *idents: str) -> None:
         """Sends requests and waits until they are opened."""
         self.client.sendall(b"".join(command(ident, d=HOUR // 10) for ident in idents))
-        run_until(self.at.loop, lambda: len(self.at.opened) == len(idents))
+        run_until(self.recorder.loop, lambda: len(self.recorder.opened) == len(idents))
 
     def pipelined(self) -> None:
         """Sends so many requests that some wait in the kernel or in the connection's buffer."""
         many = [f"aa{number:02x}" for number in range(MAX_PIPELINED + 20)]
         self.client.sendall(b"".join(command(ident, d=HOUR // 10) for ident in many))
-        run_until(self.at.loop, lambda: len(self.at.opened) == MAX_PIPELINED)
+        run_until(self.recorder.loop, lambda: len(self.recorder.opened) == MAX_PIPELINED)
 
     def slow_reader(self) -> None:
         """Leaves large answers unread by the client."""
         connection = next(iter(self.side.connections))
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         self.ask("aa01", "aa02")
-        first = self.at.opened[0]
+        first = self.recorder.opened[0]
         first.open = False
         first.reply(Served(b"x" * (3 * PAUSE_UNSENT)))
         assert len(connection.unsent) > PAUSE_UNSENT
@@ -164,16 +169,16 @@
         size = resp.MAX_VALUE + 1000
         head = command("bb01", body=b"x" * size)[: -size // 2]
         self.connect(head)
-        run_until(self.at.loop, lambda: self.side.body_budget.used)
+        run_until(self.recorder.loop, lambda: self.side.body_budget.used)
         self.ask("aa01")
         self.client.sendall(head.replace(b"bb01", b"bb02"))
-        run_until(self.at.loop, lambda: self.side.body_budget.waiting)
+        run_until(self.recorder.loop, lambda: self.side.body_budget.waiting)
 
     def close(self) -> None:
         """Closes the clients and the loop."""
         for client in self.others:
             client.close()
-        self.at.close()
+        self.recorder.close()
 
 
 PAUSES = {
@@ -191,23 +196,23 @@
 ) -> None:
     one = PausedClient()
     pauses(one)
-    opened = [transaction for transaction in one.at.opened if transaction.open]
+    opened = [transaction for transaction in one.recorder.opened if transaction.open]
     leaves(one.client)
-    run_until_noticed(one.at.loop, lambda: len(one.at.gone) == len(opened))
-    assert one.at.gone == opened
-    assert one.at.exchange.open_count <= len(one.at.opened) - len(opened)
+    run_until_noticed(one.recorder.loop, lambda: len(one.recorder.gone) == len(opened))
+    assert one.recorder.gone == opened
+    assert one.recorder.exchange.open_count <= len(one.recorder.opened) - len(opened)
     one.close()
 
 
 @pytest.mark.parametrize("looks", ["the cap", "a drain", "the sweep of a drain"])
 def test_request_of_a_closed_client_is_not_opened_by_eviction_or_drain(looks: str) -> None:
     """PausedClient bytes are read before a connection is ended; here the client's close follows them."""
-    at = Recorder()
-    side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 10)
+    recorder = Recorder()
+    side = ClientSide(recorder.loop, recorder.log.append, recorder.exchange, ("127.0.0.1", 0), 10)
     side.start_serving()
     client = socket.create_connection(side.address)
     client.sendall(b"*1\r\n$4\r\nPING\r\n")
-    run_until(at.loop, lambda: select.select([client], [], [], 0)[0])
+    run_until(recorder.loop, lambda: select.select([client], [], [], 0)[0])
     client.recv(100)
     connection = next(iter(side.connections))
     connection.created_at -= 60.0
@@ -220,9 +225,9 @@
         side._expire_drain(side.drain_count)
     else:
         side._sweep()
-    run_until(at.loop, lambda: not side.connections)
-    assert at.opened == []
-    at.close()
+    run_until(recorder.loop, lambda: not side.connections)
+    assert recorder.opened == []
+    recorder.close()
 
 
 def test_client_close_is_handled_before_other_events_of_the_same_iteration() -> None:
@@ -230,13 +235,13 @@
     with listener() as hop:
         wired = Wired(hop.getsockname())
         client = wired.ask("aa01")
-        wired.at.loop.call_later(0.0, int)
-        wired.at.loop.run_once()  # otherwise the client, which became ready last, would be handled first
+        wired.recorder.loop.call_later(0.0, int)
+        wired.recorder.loop.run_once()  # otherwise the client, ready last, would be handled first
         wired.send()  # the connection is established, but the loop has not seen it yet
         client.close()
-        run_until_noticed(wired.at.loop, lambda: wired.at.gone)
-        wired.at.loop.run_once()
-        assert wired.at.exchange.transactions == {}
+        run_until_noticed(wired.recorder.loop, lambda: wired.recorder.gone)
+        wired.recorder.loop.run_once()
+        assert wired.recorder.exchange.transactions == {}
         assert wired.hops.forwards == 0
         assert hop.accept()[0].recv(100) == b""
-        wired.at.close()
+        wired.recorder.close()
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -76,11 +76,13 @@
 
     @initialize()
     def start(self) -> None:
-        self.at = Recorder()
-        self.side = ClientSide(self.at.loop, self.at.log.append, self.at.exchange, ("127.0.0.1", 0), 10)
+        self.recorder = Recorder()
+        self.side = ClientSide(
+            self.recorder.loop, self.recorder.log.append, self.recorder.exchange, ("127.0.0.1", 0), 10
+        )
         self.side.ready = True
         self.client = socket.create_connection(self.side.address)
-        run_until(self.at.loop, lambda: len(self.side.connections) == 1)
+        run_until(self.recorder.loop, lambda: len(self.side.connections) == 1)
         self.expected_answers: deque[list[bytes | None]] = deque()  # one cell per answer, in order
         self.open: list[tuple[Transaction, list[bytes | None]]] = []
         self.serial = 0
@@ -100,7 +102,7 @@
                     return False
                 return len(got) >= len(due)
 
-            run_until(self.at.loop, read)
+            run_until(self.recorder.loop, read)
             self.client.setblocking(True)
             assert bytes(got) == due
             self.check_drain()
@@ -111,13 +113,13 @@
         self.serial += 1
         text = command(f"{self.serial:04x}")
         self.client.sendall(text[:cut])
-        self.at.loop.call_later(0, int)
-        self.at.loop.run_once()
+        self.recorder.loop.call_later(0, int)
+        self.recorder.loop.run_once()
         self.client.sendall(text[cut:])
-        run_until(self.at.loop, lambda: len(self.at.opened) == self.serial)
+        run_until(self.recorder.loop, lambda: len(self.recorder.opened) == self.serial)
         cell: list[bytes | None] = [None]
         self.expected_answers.append(cell)
-        self.open.append((self.at.opened[-1], cell))
+        self.open.append((self.recorder.opened[-1], cell))
 
     @rule()
     def unknown_command(self) -> None:
@@ -130,10 +132,10 @@
     def decide(self, which: int, what: str) -> None:
         transaction, cell = self.open.pop(which % len(self.open))
         if what == "refuse":
-            self.at.exchange.refuse(transaction.name, 0.02)
+            self.recorder.exchange.refuse(transaction.name, 0.02)
             cell[0] = b"-BUSY 20\r\n"
         else:
-            self.at.exchange.fail(transaction.name)
+            self.recorder.exchange.fail(transaction.name)
             cell[0] = b"-ERR failed\r\n"
         self.read_answers()
 
@@ -152,34 +154,34 @@
         if not self.side.draining or self.open or not next(iter(self.side.connections)).answered:
             return
         assert self.side.pong().startswith(b"-ERR")
-        run_until(self.at.loop, self.client_saw_end)
-        self.at.log.clear()
+        run_until(self.recorder.loop, self.client_saw_end)
+        self.recorder.log.clear()
         self.client = socket.create_connection(self.side.address)
-        run_until(self.at.loop, lambda: len(self.side.connections) == 1)
+        run_until(self.recorder.loop, lambda: len(self.side.connections) == 1)
 
     def client_saw_end(self) -> bool:
         """The client sees the end and closes as well."""
         if select.select([self.client], [], [], 0)[0]:
             assert self.client.recv(10) == b""
             self.client.close()
-            run_until(self.at.loop, lambda: not self.side.connections)
+            run_until(self.recorder.loop, lambda: not self.side.connections)
             return True
         return False
 
     @invariant()
     def nothing_is_answered_twice(self) -> None:
-        if hasattr(self, "at"):
-            assert self.at.exchange.open_count == len(self.open)
-            assert sum(ends.open for ends in self.at.exchange.ends.values()) == len(self.open)
+        if hasattr(self, "recorder"):
+            assert self.recorder.exchange.open_count == len(self.open)
+            assert sum(ends.open for ends in self.recorder.exchange.ends.values()) == len(self.open)
 
     def teardown(self) -> None:
-        if hasattr(self, "at"):
+        if hasattr(self, "recorder"):
             self.client.close()
-            run_until(self.at.loop, lambda: not self.side.connections)
+            run_until(self.recorder.loop, lambda: not self.side.connections)
             # each open transaction is notified that its client has gone, and the connection logs one line
-            assert self.at.gone == [transaction for transaction, _ in self.open]
-            assert sum(line.startswith("end caller") for line in self.at.log) == 1
-            self.at.close()
+            assert self.recorder.gone == [transaction for transaction, _ in self.open]
+            assert sum(line.startswith("end caller") for line in self.recorder.log) == 1
+            self.recorder.close()
 
 
 class NextHopModel(RuleBasedStateMachine):
@@ -187,10 +189,10 @@
 
     @initialize()
     def start(self) -> None:
-        self.at = Recorder()
+        self.recorder = Recorder()
         self.hop = listener()
         self.side = self.make_side()
-        self.at.exchange.next_hops = self.side
+        self.recorder.exchange.next_hops = self.side
         self.set_phase(Phase.SERVING)
         self.busy: list[tuple[Branch, Any]] = []
         self.idle: list[Any] = []  # the next hop's sockets, most recently used last
@@ -198,7 +200,9 @@
         self.ends = 0
 
     def make_side(self) -> NextHops:
-        return NextHops(self.at.loop, self.at.log.append, self.at.exchange, 60.0, 600.0, 60.0, 10)
+        return NextHops(
+            self.recorder.loop, self.recorder.log.append, self.recorder.exchange, 60.0, 600.0, 60.0, 10
+        )
 
     def accepted(self) -> Any:
         """Accepts a connection that was just dialled."""
@@ -211,8 +215,8 @@
 
     def send(self) -> Branch:
         request = Request("look", "plain", "7", 600.0, 1.0, 1, 0, ASK)
-        transaction = self.at.exchange.open(request, self.at.loop.now(), lambda final: None)
-        sent = self.at.exchange.send(transaction.name, "s-1", None)
+        transaction = self.recorder.exchange.open(request, self.recorder.loop.now(), lambda final: None)
+        sent = self.recorder.exchange.send(transaction.name, "s-1", None)
         assert isinstance(sent, Branch)
         return sent
 
@@ -225,7 +229,7 @@
         else:
             sock = self.accepted()
             sock.settimeout(20)
-        run_until(self.at.loop, lambda: branch.carrier.fully_written)
+        run_until(self.recorder.loop, lambda: branch.carrier.fully_written)
         read_until(sock, b"units=1\r\n")
         self.busy.append((branch, sock))
 
@@ -256,13 +260,13 @@
             sock.close()
             self.ends += 1
         self.expected[branch] = outcome
-        run_until(self.at.loop, lambda: branch.ended is not None)
+        run_until(self.recorder.loop, lambda: branch.ended is not None)
 
     @precondition(lambda self: self.busy)
     @rule(which=st.integers(0, 1000))
     def cancel(self, which: int) -> None:
         branch, sock = self.busy.pop(which % len(self.busy))
-        self.at.exchange.cancel(branch.transaction.name, branch.number)
+        self.recorder.exchange.cancel(branch.transaction.name, branch.number)
         assert sock.recv(1) == b""  # closed, so that the next hop can stop working
         sock.close()
         self.ends += 1
@@ -275,7 +279,7 @@
         self.idle.pop().close()
         self.ends += 1
         if noticed:
-            run_until(self.at.loop, lambda: len(self.lines()) == self.ends)
+            run_until(self.recorder.loop, lambda: len(self.lines()) == self.ends)
         elif self.serving and len(self.busy) < 8:
             self.begin()
 
@@ -289,22 +293,22 @@
             self.idle = []
 
     def lines(self) -> list[str]:
-        return [line for line in self.at.log if line.startswith("end nexthop")]
+        return [line for line in self.recorder.log if line.startswith("end nexthop")]
 
     @invariant()
     def outcomes_are_the_models(self) -> None:
-        if hasattr(self, "at"):
-            assert dict(self.at.ended) == self.expected
-            assert len(self.at.ended) == len(self.expected)
+        if hasattr(self, "recorder"):
+            assert dict(self.recorder.ended) == self.expected
+            assert len(self.recorder.ended) == len(self.expected)
 
     def teardown(self) -> None:
-        if hasattr(self, "at"):
-            run_until(self.at.loop, lambda: len(self.lines()) == self.ends)
+        if hasattr(self, "recorder"):
+            run_until(self.recorder.loop, lambda: len(self.lines()) == self.ends)
             assert self.side.connections == len(self.busy) + len(self.idle)
-            assert not [line for line in self.at.log if "fault" in line]
+            assert not [line for line in self.recorder.log if "fault" in line]
             for sock in [self.hop, *self.idle, *(s for _, s in self.busy)]:
                 sock.close()
-            self.at.close()
+            self.recorder.close()
 
 
 TestClientConnection = ClientConnectionModel.TestCase
@@ -314,27 +318,27 @@
 
 
 def test_unknown_or_refusing_next_hop_is_a_failed_connect() -> None:
-    at, hop = Recorder(), listener()
-    side = NextHops(at.loop, at.log.append, at.exchange, 0.01, 5.0, 60.0, 10)
-    at.exchange.next_hops = side
+    recorder, hop = Recorder(), listener()
+    side = NextHops(recorder.loop, recorder.log.append, recorder.exchange, 0.01, 5.0, 60.0, 10)
+    recorder.exchange.next_hops = side
     route = Route("s-1", hop.getsockname()[:2], "z1", "std", 0, Phase.SERVING, 1.0, None)
     hop.close()
     side.update_routes(RouteSet(1, True, (route,)))
     finals: list[object] = []
     request = Request("look", "plain", "7", 60.0, 1.0, 1, 0, ASK)
-    transaction = at.exchange.open(request, at.loop.now(), finals.append)
+    transaction = recorder.exchange.open(request, recorder.loop.now(), finals.append)
     for name in ("s-1", "s-unheard"):
-        at.exchange.send(transaction.name, name, None)
-    assert at.ended == []  # an outcome is never reported within the call that sent the branch
-    run_until(at.loop, lambda: len(at.ended) == 2)
-    assert [outcome for _, outcome in at.ended] == [Outcome.CONNECT_FAILED] * 2
-    at.exchange.refuse(transaction.name, None)
+        recorder.exchange.send(transaction.name, name, None)
+    assert recorder.ended == []  # an outcome is never reported within the call that sent the branch
+    run_until(recorder.loop, lambda: len(recorder.ended) == 2)
+    assert [outcome for _, outcome in recorder.ended] == [Outcome.CONNECT_FAILED] * 2
+    recorder.exchange.refuse(transaction.name, None)
     assert finals == [Refused(None)]
-    at.close()
+    recorder.close()
 
 
 def test_unsent_branch_ends_with_the_drain_grace() -> None:
-    at = Recorder()
+    recorder = Recorder()
     with socket.socket() as hop:
         hop.bind(("127.0.0.1", 0))
         hop.listen(0)
@@ -342,203 +346,212 @@
         for sock in full:
             sock.setblocking(False)
             sock.connect_ex(hop.getsockname())
-        side = NextHops(at.loop, at.log.append, at.exchange, 60.0, 5.0, 0.06, 10)
-        at.exchange.next_hops = side
+        side = NextHops(recorder.loop, recorder.log.append, recorder.exchange, 60.0, 5.0, 0.06, 10)
+        recorder.exchange.next_hops = side
         route = Route("s-1", hop.getsockname()[:2], "z1", "std", 0, Phase.SERVING, 1.0, None)
         side.update_routes(RouteSet(1, True, (route,)))
         request = Request("look", "plain", "7", 60.0, 1.0, 1, 0, ASK)
-        transaction = at.exchange.open(request, at.loop.now(), lambda final: None)
-        at.exchange.send(transaction.name, "s-1", None)
+        transaction = recorder.exchange.open(request, recorder.loop.now(), lambda final: None)
+        recorder.exchange.send(transaction.name, "s-1", None)
         side.update_routes(RouteSet(2, True, ()))
-        run_until(at.loop, lambda: at.ended)
-        assert at.ended[0][1] is Outcome.CONNECT_FAILED
-        assert any("end nexthop s-1 drained" in line for line in at.log)
+        run_until(recorder.loop, lambda: recorder.ended)
+        assert recorder.ended[0][1] is Outcome.CONNECT_FAILED
+        assert any("end nexthop s-1 drained" in line for line in recorder.log)
         for sock in full:
             sock.close()
-    at.close()
+    recorder.close()
 
 
 def test_exchange_answers_once_and_in_time_whatever_the_module_does() -> None:
-    at = Recorder()
+    recorder = Recorder()
     finals: dict[str, list[object]] = {}
     for number, (kind, ran) in enumerate([("look", True), ("change", False), ("change", True)]):
         got = finals.setdefault(f"{kind} {ran}", [])
         request = Request(kind, "plain", "7", 0.05, 1.0, 1, 0, None)
-        transaction = at.exchange.open(request, at.loop.now(), got.append)
+        transaction = recorder.exchange.open(request, recorder.loop.now(), got.append)
         if ran:
             branch = Branch(transaction, 0, "s-1", 0.0, 0.0)
             transaction.branches.append(branch)
             transaction.out += 1
-        run_until(at.loop, lambda: got)  # noqa: B023
-        assert at.loop.now() >= transaction.deadline - Exchange.GUARD
-        assert at.gone[number] is transaction
-        at.exchange.refuse(transaction.name, 1.0)
-        at.exchange.fail(transaction.name)
+        run_until(recorder.loop, lambda: got)  # noqa: B023
+        assert recorder.loop.now() >= transaction.deadline - Exchange.GUARD
+        assert recorder.gone[number] is transaction
+        recorder.exchange.refuse(transaction.name, 1.0)
+        recorder.exchange.fail(transaction.name)
         if ran:
-            at.exchange.branch_ended(branch, Result(Outcome.OK, b"late"))
-            assert at.ended[-1] == (branch, Outcome.OK)  # the module gets the late result as well
+            recorder.exchange.branch_ended(branch, Result(Outcome.OK, b"late"))
+            assert recorder.ended[-1] == (branch, Outcome.OK)  # the module gets the late result as well
     refused = [Refused(0.25)]
     assert finals == {"look True": refused, "change False": refused, "change True": [Failed("failed")]}
-    assert not at.exchange.transactions
-    at.close()
+    assert not recorder.exchange.transactions
+    recorder.close()
 
 
 def test_incomplete_answer_is_given_up_before_the_request_times_out() -> None:
     """An answer with a wrong length used to hold its request until the deadline."""
-    at, hop = Recorder(), listener()
-    side = NextHops(at.loop, at.log.append, at.exchange, 60.0, 600.0, 60.0, 10)
-    at.exchange.next_hops = side
+    recorder, hop = Recorder(), listener()
+    side = NextHops(recorder.loop, recorder.log.append, recorder.exchange, 60.0, 600.0, 60.0, 10)
+    recorder.exchange.next_hops = side
     route = Route("s-1", hop.getsockname()[:2], "z1", "std", 0, Phase.SERVING, 1.0, None)
     side.update_routes(RouteSet(1, True, (route,)))
     request = Request("look", "plain", "7", 600.0, 1.0, 1, 0, ASK)
-    branch = at.exchange.send(at.exchange.open(request, at.loop.now(), lambda final: None).name, "s-1", None)
+    branch = recorder.exchange.send(
+        recorder.exchange.open(request, recorder.loop.now(), lambda final: None).name, "s-1", None
+    )
     with hop.accept()[0] as sock:
         assert branch is not None
-        run_until(at.loop, lambda: branch.carrier.fully_written)
+        run_until(recorder.loop, lambda: branch.carrier.fully_written)
         sock.sendall(b"*3\r\n$900\r\nvalue\r\n$-1\r\n$-1\r\n")
-        run_until(at.loop, lambda: at.ended)
-    assert at.ended == [(branch, Outcome.ERROR)]
-    assert any("end nexthop s-1 stalled" in line for line in at.log)
+        run_until(recorder.loop, lambda: recorder.ended)
+    assert recorder.ended == [(branch, Outcome.ERROR)]
+    assert any("end nexthop s-1 stalled" in line for line in recorder.log)
     hop.close()
-    at.close()
+    recorder.close()
 
 
 def test_unsafe_request_that_may_have_run_is_neither_retried_nor_refused() -> None:
-    at = Recorder()
+    recorder = Recorder()
     finals: list[object] = []
     request = Request("change", "plain", "7", 60.0, 1.0, 1, 0, None)
-    transaction = at.exchange.open(request, at.loop.now(), finals.append)
+    transaction = recorder.exchange.open(request, recorder.loop.now(), finals.append)
     branch = Branch(transaction, 0, "s-1", 0.0, 60.0)
     transaction.branches.append(branch)
     transaction.out += 1
-    sent = at.exchange.send(transaction.name, "s-1", None)
+    sent = recorder.exchange.send(transaction.name, "s-1", None)
     assert sent is not None
-    assert at.ended == [(sent, Outcome.MOOT)]
-    at.exchange.refuse(transaction.name, 1.0)
+    assert recorder.ended == [(sent, Outcome.MOOT)]
+    recorder.exchange.refuse(transaction.name, 1.0)
     assert finals == [Failed("failed")]
-    at.close()
+    recorder.close()
 
 
 def test_connection_closed_while_reporting_its_outcome_gets_no_further_branch() -> None:
     """The connection ends only when its coroutine yields; a branch written before that would be reset."""
-    at, hop = Recorder(), listener()
-    side = NextHops(at.loop, at.log.append, at.exchange, 60.0, 600.0, 60.0, 10)
-    at.exchange.next_hops = side
+    recorder, hop = Recorder(), listener()
+    side = NextHops(recorder.loop, recorder.log.append, recorder.exchange, 60.0, 600.0, 60.0, 10)
+    recorder.exchange.next_hops = side
     route = Route("s-1", hop.getsockname()[:2], "z1", "std", 0, Phase.SERVING, 1.0, None)
     side.update_routes(RouteSet(1, True, (route,)))
     request = Request("look", "plain", "7", 60.0, 1.0, 1, 0, ASK)
-    names = [at.exchange.open(request, at.loop.now(), lambda final: None).name for _ in range(2)]
-    told = at.branch_ended
+    names = [recorder.exchange.open(request, recorder.loop.now(), lambda final: None).name for _ in range(2)]
+    told = recorder.branch_ended
 
     def branch_ended(branch: Branch, result: Result, latency: float, finished: bool) -> None:
         told(branch, result, latency, finished)
         if branch.transaction.name == names[0]:
             side.close_idle("s-1")
-            at.exchange.send(names[1], "s-1", None)
+            recorder.exchange.send(names[1], "s-1", None)
 
-    at.branch_ended = branch_ended  # type: ignore[method-assign]
-    at.exchange.send(names[0], "s-1", None)
+    recorder.branch_ended = branch_ended  # type: ignore[method-assign]
+    recorder.exchange.send(names[0], "s-1", None)
     first, _ = hop.accept()
-    run_until(at.loop, lambda: at.exchange.transactions[names[0]].branches[0].carrier.fully_written)
+    run_until(
+        recorder.loop, lambda: recorder.exchange.transactions[names[0]].branches[0].carrier.fully_written
+    )
     first.sendall(b"-BUSY\r\n")
-    run_until(at.loop, lambda: at.ended)
+    run_until(recorder.loop, lambda: recorder.ended)
     second, _ = hop.accept()
-    run_until(at.loop, lambda: at.exchange.transactions[names[1]].branches[0].carrier.fully_written)
+    run_until(
+        recorder.loop, lambda: recorder.exchange.transactions[names[1]].branches[0].carrier.fully_written
+    )
     second.sendall(b"-BUSY\r\n")
-    run_until(at.loop, lambda: len(at.ended) == 2)
-    assert [outcome for _, outcome in at.ended] == [Outcome.FULL, Outcome.FULL]
+    run_until(recorder.loop, lambda: len(recorder.ended) == 2)
+    assert [outcome for _, outcome in recorder.ended] == [Outcome.FULL, Outcome.FULL]
     for sock in (hop, first, second):
         sock.close()
-    at.close()
+    recorder.close()
 
 
 def test_nothing_is_read_before_serving_starts_and_the_wait_counts() -> None:
     """A restarted ingress used to send early requests by its saved, stale route set."""
-    at = Recorder()
-    side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 4)
+    recorder = Recorder()
+    side = ClientSide(recorder.loop, recorder.log.append, recorder.exchange, ("127.0.0.1", 0), 4)
     with socket.create_connection(side.address) as client:
         client.sendall(b"*1\r\n$4\r\nPING\r\n" + command("0001", d=300))
-        run_until(at.loop, lambda: side.connections)
-        began = at.loop.now()
-        run_until(at.loop, lambda: at.loop.now() > began + 0.05)
-        assert at.opened == []
+        run_until(recorder.loop, lambda: side.connections)
+        began = recorder.loop.now()
+        run_until(recorder.loop, lambda: recorder.loop.now() > began + 0.05)
+        assert recorder.opened == []
         assert not select.select([client], [], [], 0)[0]
         side.start_serving()
-        run_until(at.loop, lambda: at.opened)
-        assert at.opened[0].deadline <= began + 0.3  # from the start of the connection, not from the read
+        run_until(recorder.loop, lambda: recorder.opened)
+        # The time limit counts from the start of the connection, not from the read.
+        assert recorder.opened[0].deadline <= began + 0.3
         assert read_until(client, b"\r\n") == b"+PONG\r\n"
-    at.close()
+    recorder.close()
 
 
 def test_expired_drain_spares_a_new_connection_before_its_first_command() -> None:
     """An expired drain used to close new connections whose commands were under way: 3 to 8 of 5,100."""
-    at = Recorder()
-    side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 4)
+    recorder = Recorder()
+    side = ClientSide(recorder.loop, recorder.log.append, recorder.exchange, ("127.0.0.1", 0), 4)
     side.start_serving()
     with socket.create_connection(side.address) as client:
-        run_until(at.loop, lambda: side.connections)
+        run_until(recorder.loop, lambda: side.connections)
         side.evacuate(True, 1.0)
         side._expire_drain(side.drain_count)
         client.sendall(b"*1\r\n$4\r\nPING\r\n")
-        run_until(at.loop, lambda: select.select([client], [], [], 0)[0])
+        run_until(recorder.loop, lambda: select.select([client], [], [], 0)[0])
         assert read_until(client, b"\r\n") == b"-ERR evacuated\r\n"
-        run_until(at.loop, lambda: not side.connections or select.select([client], [], [], 0)[0])
-    at.close()
+        run_until(recorder.loop, lambda: not side.connections or select.select([client], [], [], 0)[0])
+    recorder.close()
 
 
 def test_connections_without_a_command_are_closed_and_others_stay() -> None:
     """Silent connections used to occupy their slots for 20 s."""
-    at, clock = Recorder(), [100.0]
-    at.loop.now = lambda: clock[0]  # type: ignore[method-assign]
-    side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 4)
+    recorder, clock = Recorder(), [100.0]
+    recorder.loop.now = lambda: clock[0]  # type: ignore[method-assign]
+    side = ClientSide(recorder.loop, recorder.log.append, recorder.exchange, ("127.0.0.1", 0), 4)
     side.ready = True
 
     def sweep() -> None:
-        at.loop.timers.clear()  # only sweeps called by the test
+        recorder.loop.timers.clear()  # only sweeps called by the test
         side._sweep()
-        at.loop.timers.clear()
+        recorder.loop.timers.clear()
 
-    at.loop.timers.clear()
+    recorder.loop.timers.clear()
     usual, silent, half, done = clients = [socket.create_connection(side.address) for _ in range(4)]
     for client, sent in zip(clients, (b"PING", b"", b"PI", b"PING"), strict=True):
         client.settimeout(20)
         client.sendall(b"*1\r\n$4\r\n" + sent + b"\r\n" if sent else b"")
     for client in (usual, done):
-        run_until(at.loop, lambda: sum(connection.answered for connection in side.connections) == 2)
+        run_until(recorder.loop, lambda: sum(connection.answered for connection in side.connections) == 2)
         assert read_until(client, b"\r\n") == b"+PONG\r\n"
     done.sendall(b"*1\r\n$4\r\nPI")  # a partial command that keeps growing is tolerated
-    run_until(at.loop, lambda: sum(bool(connection.buffer.data) for connection in side.connections) == 2)
+    run_until(
+        recorder.loop, lambda: sum(bool(connection.buffer.data) for connection in side.connections) == 2
+    )
     clock[0] += FIRST_COMMAND_TIMEOUT / 2
     sweep()
     assert len(side.connections) == 4
     fresh = socket.create_connection(side.address)  # at the limit the longest idle one is evicted
-    run_until(at.loop, lambda: any("end caller cap answered=0" in line for line in at.log))
+    run_until(recorder.loop, lambda: any("end caller cap answered=0" in line for line in recorder.log))
     clock[0] += FIRST_COMMAND_TIMEOUT / 2 + 0.1
     sweep()
     assert len(side.connections) == 3
-    assert [line.split()[2] for line in at.log if line.startswith("end caller")] == ["cap", "silent"]
+    assert [line.split()[2] for line in recorder.log if line.startswith("end caller")] == ["cap", "silent"]
     answers = sorted(client.recv(100) for client in (silent, half))
     assert answers == [b"", b"-ERR no whole command in time\r\n"]
     for _ in range(MAX_READ_STALLS + 1):
         sweep()
-    assert "end caller slow_writer" in at.log[-1]
+    assert "end caller slow_writer" in recorder.log[-1]
     usual.sendall(b"*1\r\n$4\r\nPING\r\n")
-    run_until(at.loop, lambda: sum(connection.answered for connection in side.connections) == 2)
+    run_until(recorder.loop, lambda: sum(connection.answered for connection in side.connections) == 2)
     for client in (*clients, fresh):
         client.close()
-    at.close()
+    recorder.close()
 
 
 def test_answered_request_leaves_no_reference_cycle() -> None:
     """Such cycles waited for the garbage collector by the megabyte and looked like a memory leak."""
-    at = Recorder()
-    side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 4)
+    recorder = Recorder()
+    side = ClientSide(recorder.loop, recorder.log.append, recorder.exchange, ("127.0.0.1", 0), 4)
     side.start_serving()
     with socket.create_connection(side.address) as client:
         for serial in range(20):
             client.sendall(command(f"{serial:04x}"))
-            run_until(at.loop, lambda: len(at.opened) == 1)
-            at.exchange.fail(at.opened.pop().name)
+            run_until(recorder.loop, lambda: len(recorder.opened) == 1)
+            recorder.exchange.fail(recorder.opened.pop().name)
             if serial == 9:
                 gc.collect()
                 gc.disable()
@@ -546,55 +559,55 @@
             assert gc.collect() < 10
         finally:
             gc.enable()
-    at.close()
+    recorder.close()
 
 
 def test_wait_behind_other_commands_counts_against_the_time_left() -> None:
-    at = Recorder()
-    side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 10)
+    recorder = Recorder()
+    side = ClientSide(recorder.loop, recorder.log.append, recorder.exchange, ("127.0.0.1", 0), 10)
     side.start_serving()
     with socket.create_connection(side.address) as client:
         client.sendall(b"".join(command(f"{n:04x}") for n in range(MAX_PIPELINED + 1)))
-        run_until(at.loop, lambda: len(at.opened) == MAX_PIPELINED)
+        run_until(recorder.loop, lambda: len(recorder.opened) == MAX_PIPELINED)
         client.sendall(command("ffff"))
-        since = at.loop.now()
+        since = recorder.loop.now()
         time.sleep(0.02)
-        rounds = at.loop.iteration
-        run_until(at.loop, lambda: at.loop.iteration >= rounds + 3)  # the loop has caught up
-        for transaction in at.opened[:2]:
-            at.exchange.fail(transaction.name)
-            run_until(at.loop, lambda: len(at.opened) > MAX_PIPELINED)
-        run_until(at.loop, lambda: len(at.opened) == MAX_PIPELINED + 2)
-        for transaction in at.opened[MAX_PIPELINED:]:
+        rounds = recorder.loop.iteration
+        run_until(recorder.loop, lambda: recorder.loop.iteration >= rounds + 3)  # the loop has caught up
+        for transaction in recorder.opened[:2]:
+            recorder.exchange.fail(transaction.name)
+            run_until(recorder.loop, lambda: len(recorder.opened) > MAX_PIPELINED)
+        run_until(recorder.loop, lambda: len(recorder.opened) == MAX_PIPELINED + 2)
+        for transaction in recorder.opened[MAX_PIPELINED:]:
             assert transaction.deadline - transaction.request.patience <= since
-    at.close()
+    recorder.close()
 
 
 def test_command_whose_first_write_fails_is_sent_on_another_connection() -> None:
     """No byte of it was sent: it must neither be lost nor count as started."""
-    at, hop = Recorder(), listener()
-    side = NextHops(at.loop, at.log.append, at.exchange, 60.0, 600.0, 60.0, 10)
-    at.exchange.next_hops = side
+    recorder, hop = Recorder(), listener()
+    side = NextHops(recorder.loop, recorder.log.append, recorder.exchange, 60.0, 600.0, 60.0, 10)
+    recorder.exchange.next_hops = side
     route = Route("s-1", hop.getsockname()[:2], "z1", "std", 0, Phase.SERVING, 1.0, None)
     side.update_routes(RouteSet(1, True, (route,)))
     request = Request("change", "plain", "7", 600.0, 1.0, 1, 0, ASK)
-    names = [at.exchange.open(request, at.loop.now(), lambda final: None).name for _ in range(2)]
-    first = at.exchange.send(names[0], "s-1", None)
+    names = [recorder.exchange.open(request, recorder.loop.now(), lambda final: None).name for _ in range(2)]
+    first = recorder.exchange.send(names[0], "s-1", None)
     with hop.accept()[0] as sock:
         assert first is not None
-        run_until(at.loop, lambda: first.carrier.fully_written)
+        run_until(recorder.loop, lambda: first.carrier.fully_written)
         sock.sendall(b"-BUSY\r\n")
-        run_until(at.loop, lambda: at.ended)
+        run_until(recorder.loop, lambda: recorder.ended)
         idle = side.hops["s-1"].idle[0]
         idle.sock.shutdown(socket.SHUT_WR)  # the next write fails without any earlier sign
-        second = at.exchange.send(names[1], "s-1", None)
+        second = recorder.exchange.send(names[1], "s-1", None)
         assert second is not None
         with hop.accept()[0] as other:
-            run_until(at.loop, lambda: second.carrier.fully_written)
+            run_until(recorder.loop, lambda: second.carrier.fully_written)
             read_until(other, b"units=1\r\n")
             other.sendall(b"-BUSY\r\n")
-            run_until(at.loop, lambda: second.ended)
+            run_until(recorder.loop, lambda: second.ended)
     assert second.ended is Outcome.FULL
-    assert any("end nexthop s-1 stale served=1" in line for line in at.log)
+    assert any("end nexthop s-1 stale served=1" in line for line in recorder.log)
     hop.close()
-    at.close()
+    recorder.close()
--- a/tests/test_descriptor_limits.py
+++ b/tests/test_descriptor_limits.py
@@ -74,19 +74,21 @@
 
 def test_eviction_does_not_recurse(monkeypatch: pytest.MonkeyPatch) -> None:
     """Eviction reads requests of many clients; if each evicted in turn, the stack would overflow."""
-    at = Recorder()
-    side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 100)
+    recorder = Recorder()
+    side = ClientSide(recorder.loop, recorder.log.append, recorder.exchange, ("127.0.0.1", 0), 100)
     side.start_serving()
     clients = [socket.create_connection(side.address) for _ in range(50)]
     for client in clients:
         client.sendall(PING)
-    run_until(at.loop, lambda: all(select.select([client], [], [], 0)[0] for client in clients))
+    run_until(recorder.loop, lambda: all(select.select([client], [], [], 0)[0] for client in clients))
     made: list[bool] = []
-    monkeypatch.setattr(at, "transaction_opened", lambda transaction: made.append(at.loop.free_descriptor()))
+    monkeypatch.setattr(
+        recorder, "transaction_opened", lambda transaction: made.append(recorder.loop.free_descriptor())
+    )
     for number, client in enumerate(clients):
         client.sendall(command(f"{number:04x}"))
-    assert not at.loop.free_descriptor()  # all have a request open now
+    assert not recorder.loop.free_descriptor()  # all have a request open now
     assert made == [False] * len(clients)
     for client in clients:
         client.close()
-    at.close()
+    recorder.close()
--- a/tests/test_discovery_deadlines.py
+++ b/tests/test_discovery_deadlines.py
@@ -164,13 +164,13 @@
     with agent() as one:
         timing = one.routes.timing
         timing.back_off = 2.0
-        timing.began = one.at.loop.now() - MAX_HEAD_TIMEOUT
+        timing.began = one.recorder.loop.now() - MAX_HEAD_TIMEOUT
         # Makes the close a reset.
         one.watch.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         one.watch.close()
-        run_until(one.at.loop, lambda: one.routes.reconnect_timer)
+        run_until(one.recorder.loop, lambda: one.routes.reconnect_timer)
         assert one.routes.reconnect_timer is not None
-        assert one.routes.reconnect_timer.when - one.at.loop.now() <= FIRST_BACK_OFF
+        assert one.routes.reconnect_timer.when - one.recorder.loop.now() <= FIRST_BACK_OFF
         one.watch = one.accept()
 
 
@@ -184,11 +184,11 @@
     with agent() as one:
         one.routes.timing.head_timeout = LIMIT
         one.send(json.dumps(change(8)).encode() + b"\n")
-        run_until(one.at.loop, lambda: len(one.received) == 1)
+        run_until(one.recorder.loop, lambda: len(one.received) == 1)
         one.watch.close()
-        run_until(one.at.loop, lambda: select.select([one.sock], [], [], 0)[0])
+        run_until(one.recorder.loop, lambda: select.select([one.sock], [], [], 0)[0])
         one.watch = one.sock.accept()[0]  # no response head is sent
-        run_until(one.at.loop, lambda: any("end routes silent" in line for line in one.at.log))
+        run_until(one.recorder.loop, lambda: any("end routes silent" in line for line in one.recorder.log))
 
 
 def test_draining_next_hop_missing_from_the_complete_list_after_a_watch_ended(tmp_path: Path) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -56,14 +56,22 @@
         cool_down: float = COOL_DOWN,
         make: Callable[[Route, socket.socket], Stream] = lambda route, sock: PlainStream(sock),
     ) -> None:
-        self.at = Recorder()
-        self.clients = ClientSide(self.at.loop, self.at.log.append, self.at.exchange, ("127.0.0.1", 0), 10)
+        self.recorder = Recorder()
+        self.clients = ClientSide(
+            self.recorder.loop, self.recorder.log.append, self.recorder.exchange, ("127.0.0.1", 0), 10
+        )
         self.clients.start_serving()
         times = (60.0, 600.0, grace)
         self.hops = NextHops(
-            self.at.loop, self.at.log.append, self.at.exchange, *times, 10, make, cool_down=cool_down
+            self.recorder.loop,
+            self.recorder.log.append,
+            self.recorder.exchange,
+            *times,
+            10,
+            make,
+            cool_down=cool_down,
         )
-        self.at.exchange.next_hops = self.hops
+        self.recorder.exchange.next_hops = self.hops
         self.address = address
         self.set_phase(Phase.SERVING)
 
@@ -73,27 +81,27 @@
 
     def ask(self, ident: str) -> socket.socket:
         """Connects a new client and waits until its request is opened."""
-        client, before = socket.create_connection(self.clients.address), len(self.at.opened)
+        client, before = socket.create_connection(self.clients.address), len(self.recorder.opened)
         client.settimeout(LIMIT)
         client.sendall(command(ident, d=60_000))
-        run_until(self.at.loop, lambda: len(self.at.opened) > before)
+        run_until(self.recorder.loop, lambda: len(self.recorder.opened) > before)
         return client
 
     def send(self, timeout: float | None = None) -> None:
         """Sends the most recently opened request to the next hop."""
-        self.at.exchange.send(self.at.opened[-1].name, "s-1", timeout)
+        self.recorder.exchange.send(self.recorder.opened[-1].name, "s-1", timeout)
 
     def accept(self, hop: socket.socket) -> socket.socket:
         """Accepts a connection at the next hop and reads one command."""
         sock = hop.accept()[0]
         sock.settimeout(LIMIT)
-        run_until(self.at.loop, lambda: select.select([sock], [], [], 0)[0])
+        run_until(self.recorder.loop, lambda: select.select([sock], [], [], 0)[0])
         read_until(sock, b"first=0\r\n")
         return sock
 
     def answered(self, client: socket.socket) -> bytes:
         """Waits for a client's answer."""
-        run_until(self.at.loop, lambda: select.select([client], [], [], 0)[0])
+        run_until(self.recorder.loop, lambda: select.select([client], [], [], 0)[0])
         return client.recv(65536)
 
 
@@ -135,19 +143,19 @@
 def test_request_is_not_sent_if_its_client_closes_during_a_dial() -> None:
     with HangingHop() as hop:
         wired = Wired(hop.sock.getsockname())
-        loop = wired.at.loop
+        loop = wired.recorder.loop
         leaves = wired.ask("aa01")
         wired.send()
         leaves.close()
-        run_until(loop, lambda: "end nexthop s-1 given_up served=0" in "".join(wired.at.log))
-        assert wired.at.exchange.transactions == {}
+        run_until(loop, lambda: "end nexthop s-1 given_up served=0" in "".join(wired.recorder.log))
+        assert wired.recorder.exchange.transactions == {}
         hop.release()
         stays = wired.ask("aa02")
         wired.send()
         run_until(loop, lambda: wired.hops.forwards == 1)
         assert b"aa02" in hop.command()
         stays.close()
-        wired.at.close()
+        wired.recorder.close()
 
 
 class SlowHandshakeStream(PlainStream):
@@ -167,17 +175,19 @@
         wired.send()
         at_hop = hop.accept()[0]
         at_hop.settimeout(LIMIT)
-        run_until(wired.at.loop, lambda: wired.hops.open_connections() == {} and wired.hops.connections == 1)
+        run_until(
+            wired.recorder.loop, lambda: wired.hops.open_connections() == {} and wired.hops.connections == 1
+        )
         leaves.close()
-        run_until(wired.at.loop, lambda: wired.at.gone)
+        run_until(wired.recorder.loop, lambda: wired.recorder.gone)
         with contextlib.suppress(OSError):  # completes the handshake
             at_hop.sendall(b"!")
-        run_until(wired.at.loop, lambda: any("end nexthop s-1" in line for line in wired.at.log))
+        run_until(wired.recorder.loop, lambda: any("end nexthop s-1" in line for line in wired.recorder.log))
         assert wired.hops.forwards == 0
         with contextlib.suppress(ConnectionError):  # a reset, if the byte was unread at the close
             assert at_hop.recv(65536) == b""
         at_hop.close()
-        wired.at.close()
+        wired.recorder.close()
 
 
 def test_unread_commands_are_dropped_when_the_client_closes(tmp_path: Path) -> None:
@@ -200,30 +210,30 @@
 
 
 def test_requests_sent_before_readiness_are_dropped_if_the_client_has_closed() -> None:
-    at = Recorder()
-    side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 10)
+    recorder = Recorder()
+    side = ClientSide(recorder.loop, recorder.log.append, recorder.exchange, ("127.0.0.1", 0), 10)
     stays, leaves = (socket.create_connection(side.address) for _ in range(2))
     stays.sendall(command("aa01"))
     leaves.sendall(command("aa02"))
-    run_until(at.loop, lambda: len(side.connections) == 2)
+    run_until(recorder.loop, lambda: len(side.connections) == 2)
     leaves.close()
-    run_until(at.loop, lambda: len(side.connections) == 1)
+    run_until(recorder.loop, lambda: len(side.connections) == 1)
     side.start_serving()
-    run_until(at.loop, lambda: at.opened)
-    assert [transaction.request.ident for transaction in at.opened] == [b"aa01"]
+    run_until(recorder.loop, lambda: recorder.opened)
+    assert [transaction.request.ident for transaction in recorder.opened] == [b"aa01"]
     stays.close()
-    at.close()
+    recorder.close()
 
 
 def test_client_that_closed_before_it_was_accepted_is_not_served() -> None:
-    at = Recorder()
-    side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 10)
+    recorder = Recorder()
+    side = ClientSide(recorder.loop, recorder.log.append, recorder.exchange, ("127.0.0.1", 0), 10)
     side.start_serving()
     with socket.create_connection(side.address) as leaves:
         leaves.sendall(command("aa01"))
-    run_until(at.loop, lambda: any(line.startswith("end caller peer_closed") for line in at.log))
-    assert at.opened == []
-    at.close()
+    run_until(recorder.loop, lambda: any(line.startswith("end caller peer_closed") for line in recorder.log))
+    assert recorder.opened == []
+    recorder.close()
 
 
 # The ends of connections and of the process.
@@ -251,40 +261,40 @@
 
 def test_new_connections_are_not_evicted_and_the_limit_holds() -> None:
     """The first command is under way; closing the connection would drop it without an answer."""
-    at = Recorder()
-    side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 3)
+    recorder = Recorder()
+    side = ClientSide(recorder.loop, recorder.log.append, recorder.exchange, ("127.0.0.1", 0), 3)
     side.start_serving()
     clients = [socket.create_connection(side.address) for _ in range(6)]
-    at.loop.run_once()
-    at.loop.run_once()
+    recorder.loop.run_once()
+    recorder.loop.run_once()
     assert len(side.connections) == 3
     for client in clients[:3]:
         client.sendall(b"*1\r\n$4\r\nPING\r\n")
-    run_until(at.loop, lambda: all(select.select([client], [], [], 0)[0] for client in clients[:3]))
+    run_until(recorder.loop, lambda: all(select.select([client], [], [], 0)[0] for client in clients[:3]))
     assert [client.recv(10) for client in clients[:3]] == [b"+PONG\r\n"] * 3
-    run_until(at.loop, lambda: sum("end caller cap answered=1" in line for line in at.log) == 3)
+    run_until(recorder.loop, lambda: sum("end caller cap answered=1" in line for line in recorder.log) == 3)
     assert len(side.connections) == 3
     for client in clients:
         client.close()
-    at.close()
+    recorder.close()
 
 
 def test_command_that_arrived_before_the_drain_expired_is_served() -> None:
-    at = Recorder()
-    side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 3)
+    recorder = Recorder()
+    side = ClientSide(recorder.loop, recorder.log.append, recorder.exchange, ("127.0.0.1", 0), 3)
     side.start_serving()
     client = socket.create_connection(side.address)
-    run_until(at.loop, lambda: side.connections)
+    run_until(recorder.loop, lambda: side.connections)
     side.draining = side.drain_expired = True
     next(iter(side.connections)).created_at -= 1.0
     client.sendall(command("aa01"))
     side._sweep()
-    assert [transaction.request.ident for transaction in at.opened] == [b"aa01"]
-    at.exchange.refuse(at.opened[0].name, None)
+    assert [transaction.request.ident for transaction in recorder.opened] == [b"aa01"]
+    recorder.exchange.refuse(recorder.opened[0].name, None)
     client.settimeout(LIMIT)
     assert read_until(client, b"\r\n") == b"-BUSY\r\n"
     client.close()
-    at.close()
+    recorder.close()
 
 
 # Next hops.
@@ -302,13 +312,15 @@
         wired.send()
         at_second = wired.accept(hop)
         at_first.sendall(VALUE.replace(b"va", b"no"))
-        run_until(wired.at.loop, lambda: any("unasked_bytes served=1" in line for line in wired.at.log))
+        run_until(
+            wired.recorder.loop, lambda: any("unasked_bytes served=1" in line for line in wired.recorder.log)
+        )
         at_second.sendall(VALUE.replace(b"va", b"vb"))
         assert wired.answered(second) == b"$2\r\nvb\r\n"
         assert COOL_DOWN > 0.01
         for sock in (first, second, at_first, at_second):
             sock.close()
-        wired.at.close()
+        wired.recorder.close()
 
 
 def test_late_loop_starts_nothing_after_the_drain_grace() -> None:
@@ -319,12 +331,12 @@
         wired.send()
         wired.set_phase(Phase.DRAINING)
         time.sleep(0.1)
-        run_until(wired.at.loop, lambda: wired.at.ended)
-        assert [outcome for _, outcome in wired.at.ended] == [Outcome.CONNECT_FAILED]
+        run_until(wired.recorder.loop, lambda: wired.recorder.ended)
+        assert [outcome for _, outcome in wired.recorder.ended] == [Outcome.CONNECT_FAILED]
         assert wired.hops.forwards == 0
         assert hop.accept()[0].recv(10) == b""
         client.close()
-        wired.at.close()
+        wired.recorder.close()
 
 
 def test_drain_grace_covers_a_delay_between_the_clock_and_the_write() -> None:
@@ -332,17 +344,17 @@
     grace = 0.4
     with listener() as hop:
         wired = Wired(hop.getsockname(), grace=grace)
-        loop = wired.at.loop
+        loop = wired.recorder.loop
         client = wired.ask("aa01")
         told = loop.now()
         wired.set_phase(Phase.DRAINING)
         run_until(loop, lambda: loop.now() > told + grace - HOLD_UP_SECONDS)
         wired.send()
-        run_until(loop, lambda: wired.at.ended)
-        assert [outcome for _, outcome in wired.at.ended] == [Outcome.CONNECT_FAILED]
+        run_until(loop, lambda: wired.recorder.ended)
+        assert [outcome for _, outcome in wired.recorder.ended] == [Outcome.CONNECT_FAILED]
         assert wired.hops.forwards == 0
         client.close()
-        wired.at.close()
+        wired.recorder.close()
 
 
 def test_drain_grace_counts_from_the_earliest_arrival_of_the_change() -> None:
@@ -350,12 +362,13 @@
     grace, late = 0.5, 0.1
     with listener() as hop:
         wired = Wired(hop.getsockname(), grace=grace)
-        wired.at.loop.earliest_arrival = wired.at.loop.now() - late
+        wired.recorder.loop.earliest_arrival = wired.recorder.loop.now() - late
         wired.set_phase(Phase.DRAINING)
         assert (
-            wired.hops.hops["s-1"].writes_end_at == wired.at.loop.earliest_arrival + grace - HOLD_UP_SECONDS
+            wired.hops.hops["s-1"].writes_end_at
+            == wired.recorder.loop.earliest_arrival + grace - HOLD_UP_SECONDS
         )
-        wired.at.close()
+        wired.recorder.close()
 
 
 def test_late_loop_starts_no_branch_after_its_deadline() -> None:
@@ -364,11 +377,11 @@
         client = wired.ask("aa01")
         wired.send(0.02)
         time.sleep(0.05)
-        run_until(wired.at.loop, lambda: wired.at.ended)
-        assert [outcome for _, outcome in wired.at.ended] == [Outcome.CONNECT_FAILED]
+        run_until(wired.recorder.loop, lambda: wired.recorder.ended)
+        assert [outcome for _, outcome in wired.recorder.ended] == [Outcome.CONNECT_FAILED]
         assert wired.hops.forwards == 0
         client.close()
-        wired.at.close()
+        wired.recorder.close()
 
 
 # The watch of discovery.
@@ -386,11 +399,17 @@
     """A discovery agent whose responses are scripted by the test."""
 
     def __init__(self) -> None:
-        self.at, self.received = Recorder(), list[RouteSet]()
+        self.recorder, self.received = Recorder(), list[RouteSet]()
         self.sock = listener()
         chance = random.Random(1)
         self.routes = RouteWatch(
-            self.at.loop, self.at.log.append, self.sock.getsockname(), (), 7, self.received.append, chance
+            self.recorder.loop,
+            self.recorder.log.append,
+            self.sock.getsockname(),
+            (),
+            7,
+            self.received.append,
+            chance,
         )
         self.routes.connect()
         self.request_head = b""
@@ -408,8 +427,8 @@
                 return False
             return True
 
-        run_until(self.at.loop, came)
-        run_until(self.at.loop, lambda: select.select([watches[0]], [], [], 0)[0])
+        run_until(self.recorder.loop, came)
+        run_until(self.recorder.loop, lambda: select.select([watches[0]], [], [], 0)[0])
         watches[0].settimeout(LIMIT)
         self.request_head = read_until(watches[0], b"\r\n\r\n")
         watches[0].sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -426,7 +445,7 @@
     made.routes.close()
     made.watch.close()
     made.sock.close()
-    made.at.close()
+    made.recorder.close()
 
 
 def test_lists_are_parsed_indented_and_independently_of_segmentation() -> None:
@@ -445,7 +464,7 @@
     with agent() as one:
         for text in texts:
             one.send(text.encode() + b"\n")
-        run_until(one.at.loop, lambda: len(one.received) == 3)
+        run_until(one.recorder.loop, lambda: len(one.received) == 3)
         assert [routes.revision for routes in one.received] == [8, 9, 10]
         assert one.received[1].routes[0].hop == awkward["id"]
 
@@ -453,7 +472,7 @@
 def test_complete_object_is_applied_without_the_end_of_its_line() -> None:
     with agent() as one:
         one.send(json.dumps(change(8, entry("s-1", "DRAINING"))).encode())
-        run_until(one.at.loop, lambda: len(one.received) == 1)
+        run_until(one.recorder.loop, lambda: len(one.received) == 1)
 
 
 def test_watch_that_sends_bytes_but_never_completes_an_object_times_out() -> None:
@@ -463,13 +482,13 @@
 
         def broken() -> bool:
             nonlocal drips
-            if any("end routes silent" in line for line in one.at.log):
+            if any("end routes silent" in line for line in one.recorder.log):
                 return True
             drips += 1
             one.send(b" \n")
             return False
 
-        run_until(one.at.loop, broken)
+        run_until(one.recorder.loop, broken)
         assert drips > 100
         one.watch.close()
         one.watch = one.accept()
@@ -482,7 +501,7 @@
         timing = one.routes.timing
         timing.back_off = timing.head_timeout = timing.unavailable_back_off = 4.0
         one.send(b"\n")
-        run_until(one.at.loop, lambda: timing.head_timeout == HEAD_TIMEOUT)
+        run_until(one.recorder.loop, lambda: timing.head_timeout == HEAD_TIMEOUT)
         assert timing.back_off < 0.1
         assert not timing.unavailable_back_off
 
@@ -491,29 +510,29 @@
     with agent() as one:
         gone: dict[str, object] = {"id": "s-3", "phase": "DELETED"}  # no other fields are needed
         one.send(json.dumps(change(8, entry("s-1", "DRAINING"), entry("s-2", "ODD"), gone)).encode() + b"\n")
-        run_until(one.at.loop, lambda: len(one.received) == 1)
+        run_until(one.recorder.loop, lambda: len(one.received) == 1)
         assert [route.hop for route in one.received[0].routes] == ["s-1", "s-3"]
         one.watch.close()
         one.watch = one.accept()
         assert b"since" not in one.request_head
         one.send(json.dumps(change(8, entry("s-1", "DRAINING"), entry("s-2", "ODD"), complete=True)).encode())
         # An unreadable member of a complete list is gone for good.
-        run_until(one.at.loop, lambda: len(one.received) == 2)
+        run_until(one.recorder.loop, lambda: len(one.received) == 2)
         one.send(json.dumps(change(9, entry("s-1", "SERVING"))).encode())
-        run_until(one.at.loop, lambda: len(one.received) == 3)
+        run_until(one.recorder.loop, lambda: len(one.received) == 3)
 
 
 def test_revision_that_goes_back_is_ignored_and_the_complete_list_requested() -> None:
     with agent() as one:
         one.send(json.dumps(change(9, entry("s-1", "DRAINING"))).encode() + b"\n")
         one.send(json.dumps(change(8, entry("s-1", "SERVING"))).encode() + b"\n")
-        run_until(one.at.loop, lambda: any("goes back" in line for line in one.at.log))
+        run_until(one.recorder.loop, lambda: any("goes back" in line for line in one.recorder.log))
         assert [routes.revision for routes in one.received] == [9]
         one.watch.close()
         one.watch = one.accept()
         assert b"since" not in one.request_head
         one.send(json.dumps(change(3, entry("s-1", "SERVING"), complete=True)).encode() + b"\n")
-        run_until(one.at.loop, lambda: len(one.received) == 2)
+        run_until(one.recorder.loop, lambda: len(one.received) == 2)
 
 
 @pytest.mark.parametrize(("pushed", "longest"), [(True, 0.25), (False, MAX_BACK_OFF)])
--- a/tests/test_faulty_calls.py
+++ b/tests/test_faulty_calls.py
@@ -112,29 +112,29 @@
 
 
 def test_epoll_registration_is_retried_and_the_connection_closed_if_it_keeps_failing() -> None:
-    at = Recorder()
-    side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 10)
+    recorder = Recorder()
+    side = ClientSide(recorder.loop, recorder.log.append, recorder.exchange, ("127.0.0.1", 0), 10)
     side.start_serving()
-    at.loop.epoll = FailingEpoll(at.loop.epoll, 2)  # type: ignore[assignment]
+    recorder.loop.epoll = FailingEpoll(recorder.loop.epoll, 2)  # type: ignore[assignment]
     with socket.create_connection(side.address) as client:
         client.sendall(PING)
-        run_until(at.loop, lambda: select.select([client], [], [], 0)[0])
+        run_until(recorder.loop, lambda: select.select([client], [], [], 0)[0])
         assert client.recv(100) == b"+PONG\r\n"
-    at.loop.epoll = FailingEpoll(at.loop.epoll, 3)  # type: ignore[assignment]
+    recorder.loop.epoll = FailingEpoll(recorder.loop.epoll, 3)  # type: ignore[assignment]
     with socket.create_connection(side.address) as client:
-        run_until(at.loop, lambda: select.select([client], [], [], 0)[0])
+        run_until(recorder.loop, lambda: select.select([client], [], [], 0)[0])
         assert client.recv(100) == b""
     with socket.create_connection(side.address) as client:  # the listener still works
         client.sendall(PING)
-        run_until(at.loop, lambda: select.select([client], [], [], 0)[0])
+        run_until(recorder.loop, lambda: select.select([client], [], [], 0)[0])
         assert client.recv(100) == b"+PONG\r\n"
     assert [connection.reason for connection in side.connections if connection.task is None] == []
-    at.close()
+    recorder.close()
 
 
 def test_client_listener_survives_an_exception(monkeypatch: pytest.MonkeyPatch) -> None:
-    at = Recorder()
-    side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 10)
+    recorder = Recorder()
+    side = ClientSide(recorder.loop, recorder.log.append, recorder.exchange, ("127.0.0.1", 0), 10)
     side.start_serving()
     accept, faults = side._accept, [ZeroDivisionError(), OSError(errno.EINVAL, "invalid")]
 
@@ -146,10 +146,10 @@
     monkeypatch.setattr(side, "_accept", failing)
     with socket.create_connection(side.address) as client:
         client.sendall(PING)
-        run_until(at.loop, lambda: select.select([client], [], [], 0)[0])
+        run_until(recorder.loop, lambda: select.select([client], [], [], 0)[0])
         assert client.recv(100) == b"+PONG\r\n"
-    assert sum("fault of a coroutine, begun anew" in line for line in at.log) == 2
-    at.close()
+    assert sum("fault of a coroutine, begun anew" in line for line in recorder.log) == 2
+    recorder.close()
 
 
 def test_datagrams_are_received_after_an_exception() -> None:
@@ -262,10 +262,10 @@
         monkeypatch.setattr(socket.socket, "connect_ex", connect)
         monkeypatch.setattr(loop_module, "RETRY_PAUSE", 0.001)
         wired.send()
-        run_until(wired.at.loop, lambda: wired.at.ended)
-        assert [outcome for _, outcome in wired.at.ended] == [Outcome.MOOT]
+        run_until(wired.recorder.loop, lambda: wired.recorder.ended)
+        assert [outcome for _, outcome in wired.recorder.ended] == [Outcome.MOOT]
         client.close()
-        wired.at.close()
+        wired.recorder.close()
 
 
 def test_watch_request_is_sent_completely_despite_short_writes(
@@ -299,37 +299,37 @@
         return real(sock, *arguments)
 
     monkeypatch.setattr(socket.socket, call, failing)
-    at = Recorder()
-    side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 10)
+    recorder = Recorder()
+    side = ClientSide(recorder.loop, recorder.log.append, recorder.exchange, ("127.0.0.1", 0), 10)
     assert faults == []
     side.stop()
-    at.close()
+    recorder.close()
 
 
 def test_startup_fails_at_once_if_the_address_is_in_use() -> None:
-    at = Recorder()
+    recorder = Recorder()
     with listener() as other:
         began = time.monotonic()
         with pytest.raises(OSError, match="in use"):
-            ClientSide(at.loop, at.log.append, at.exchange, other.getsockname(), 10)
+            ClientSide(recorder.loop, recorder.log.append, recorder.exchange, other.getsockname(), 10)
         assert time.monotonic() - began < transient_errors.STARTUP_TIMEOUT / 2
-    at.close()
+    recorder.close()
 
 
 def test_dial_whose_socket_cannot_be_registered_is_cleaned_up_and_not_blamed_on_the_backend() -> None:
     with listener() as hop:
         wired = Wired(hop.getsockname())
         client = wired.ask("aa01")
-        wired.at.loop.epoll = FailingEpoll(wired.at.loop.epoll, 3)  # type: ignore[assignment]
+        wired.recorder.loop.epoll = FailingEpoll(wired.recorder.loop.epoll, 3)  # type: ignore[assignment]
         wired.send()
-        run_until(wired.at.loop, lambda: wired.at.ended)
-        assert [outcome for _, outcome in wired.at.ended] == [Outcome.MOOT]
+        run_until(wired.recorder.loop, lambda: wired.recorder.ended)
+        assert [outcome for _, outcome in wired.recorder.ended] == [Outcome.MOOT]
         assert wired.hops.connections == 0
         assert not wired.hops.hops["s-1"].connections
         wired.send()  # the next one succeeds
         wired.accept(hop).close()
         client.close()
-        wired.at.close()
+        wired.recorder.close()
 
 
 def test_watch_whose_socket_cannot_be_registered_is_reopened() -> None:
--- a/tests/test_handshakes.py
+++ b/tests/test_handshakes.py
@@ -378,8 +378,8 @@
         self.rig, self.shown = rig, list[RouteSet]()
         self.limits = limits(ingresses, **changes)
         self.keeper = Keeper(
-            rig.at.loop,
-            rig.at.log.append,
+            rig.recorder.loop,
+            rig.recorder.log.append,
             self.limits,
             rig.side,
             self.shown.append,
@@ -398,7 +398,7 @@
         return [one.hop for one in self.shown[-1].routes]
 
     def until(self, met: Any) -> None:
-        run_until(self.rig.at.loop, met)
+        run_until(self.rig.recorder.loop, met)
 
 
 @pytest.fixture
@@ -421,9 +421,9 @@
 
 def test_a_cold_one_is_shown_after_its_turn_and_a_branch_too_many_is_moot_not_broken(rigged: Any) -> None:
     kept = Kept(rigged, ingresses=40)
-    wall = kept.rig.at.loop.now() + kept.keeper.offset
+    wall = kept.rig.recorder.loop.now() + kept.keeper.offset
     kept.told(up=wall - 0.001)
-    began = kept.rig.at.loop.now()
+    began = kept.rig.recorder.loop.now()
     kept.until(lambda: kept.shown_hops() == ["tt-07"] and rigged.box.counts.full == 1)
     first, second = rigged.send(), rigged.send()  # one connection is ready, and no turn for another one
     kept.until(lambda: second.ended is not None)
@@ -433,8 +433,8 @@
     assert kept.keeper.denied == 1
     # it was wanted: another one is opened ahead at the next turn, well after the first
     kept.until(lambda: rigged.box.counts.connections == 2)
-    assert kept.rig.at.loop.now() - began > 20 * OPTIONS.cost / OPTIONS.share
-    assert not rigged.at.gone
+    assert kept.rig.recorder.loop.now() - began > 20 * OPTIONS.cost / OPTIONS.share
+    assert not rigged.recorder.gone
 
 
 @pytest.mark.parametrize("ahead", [-3600.0, 3600.0])
@@ -447,7 +447,7 @@
         patch.setattr(time, "time", lambda: wall() + ahead)
         kept = Kept(rigged, ingresses=40)
     kept.told(up=time.time() - 1.0)
-    now = kept.rig.at.loop.now()
+    now = kept.rig.recorder.loop.now()
     assert kept.limits.cold("tt-07", now)
     assert not kept.limits.cold("tt-07", now + WARMING.cold_time)
 
@@ -492,7 +492,7 @@
     assert busy.ended is None  # on the old material, and it stays until it is done
     assert {one.stream.generation for one in rigged.side.hops["tt-07"].idle} == {2}
     assert rigged.ask() is Outcome.OK
-    rigged.at.exchange.cancel(busy.transaction.name, busy.number)
+    rigged.recorder.exchange.cancel(busy.transaction.name, busy.number)
 
 
 def test_a_replacement_is_waited_for_however_long_its_handshake_takes(rigged: Any) -> None:
@@ -500,10 +500,10 @@
     kept = Kept(rigged)
     kept.told()
     kept.until(lambda: kept.shown_hops() == ["tt-07"])
-    opened_before, looked_until = kept.keeper.opened_ahead, kept.rig.at.loop.now() + 0.5
+    opened_before, looked_until = kept.keeper.opened_ahead, kept.rig.recorder.loop.now() + 0.5
     rigged.box.mode = Mode(stall_at=0)
     rigged.streams.reload(rigged.streams.options)
-    kept.until(lambda: kept.rig.at.loop.now() > looked_until)
+    kept.until(lambda: kept.rig.recorder.loop.now() > looked_until)
     assert kept.keeper.opened_ahead - opened_before == 1
     assert rigged.ends().count("rotated") == 0
 
@@ -517,18 +517,18 @@
     # the second connection may have taken up the first one's session, whose place may then be empty
     before, done = rigged.streams.resumed, rigged.streams.resumed + rigged.streams.full
     rigged.side.end(rigged.side.hops["tt-07"].idle[0], "idle")
-    assert not kept.limits.doubted("tt-07", kept.rig.at.loop.now())
+    assert not kept.limits.doubted("tt-07", kept.rig.recorder.loop.now())
     rigged.box.cut_all()
     kept.until(lambda: not rigged.side.hops["tt-07"].connections)
-    assert kept.limits.doubted("tt-07", kept.rig.at.loop.now())
+    assert kept.limits.doubted("tt-07", kept.rig.recorder.loop.now())
     branch = rigged.send()
     kept.until(lambda: branch.ended is not None)
     assert branch.ended in (Outcome.MOOT, Outcome.OK)  # by whose turn it is just now
     kept.until(lambda: rigged.streams.resumed + rigged.streams.full > done)
     if rigged.streams.resumed > before:  # it was no restart: its sessions are kept
-        assert not kept.limits.doubted("tt-07", kept.rig.at.loop.now())
+        assert not kept.limits.doubted("tt-07", kept.rig.recorder.loop.now())
     else:  # a whole handshake tells nothing of that
-        assert kept.limits.doubted("tt-07", kept.rig.at.loop.now())
+        assert kept.limits.doubted("tt-07", kept.rig.recorder.loop.now())
 
 
 def test_a_lack_of_room_here_is_no_fault_of_the_next_hop(rigged: Any) -> None:
@@ -536,9 +536,9 @@
     kept = Kept(rigged)
     kept.told()
     for _ in range(5):
-        rigged.at.loop.call_later(0.002, int)
-        rigged.at.loop.run_once()
-    assert not rigged.at.log[1:]
+        rigged.recorder.loop.call_later(0.002, int)
+        rigged.recorder.loop.run_once()
+    assert not rigged.recorder.log[1:]
     rigged.side.max_connections = 1
     kept.until(lambda: kept.shown_hops() == ["tt-07"])
 
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -93,8 +93,8 @@
     """Next-hop side and client side in one loop; the test plays the next hop and the client."""
 
     def __init__(self) -> None:
-        self.at, self.hop = Recorder(), listener()
-        loop, log, exchange = self.at.loop, self.at.log.append, self.at.exchange
+        self.recorder, self.hop = Recorder(), listener()
+        loop, log, exchange = self.recorder.loop, self.recorder.log.append, self.recorder.exchange
         self.hops = NextHops(loop, log, exchange, 5.0, 9.0, 0.5, 9)
         exchange.next_hops = self.hops
         self.side = ClientSide(loop, log, exchange, ("127.0.0.1", 0), 9)
@@ -118,14 +118,14 @@
             return met()
 
         self.closed = False
-        run_until(self.at.loop, read)
+        run_until(self.recorder.loop, read)
 
     def ask(self, text: bytes = b"") -> socket.socket:
         self.client.sendall(text or command("aa01"))
-        self.until(lambda: self.at.opened)
-        self.at.exchange.send(self.at.opened[-1].name, "s-1", None)
-        self.at.loop.call_later(0, int)
-        self.at.loop.run_once()
+        self.until(lambda: self.recorder.opened)
+        self.recorder.exchange.send(self.recorder.opened[-1].name, "s-1", None)
+        self.recorder.loop.call_later(0, int)
+        self.recorder.loop.run_once()
         sock = self.hop.accept()[0]
         sock.settimeout(LIMIT)
         return sock
@@ -133,7 +133,7 @@
     def close(self) -> None:
         self.client.close()
         self.hop.close()
-        self.at.close()
+        self.recorder.close()
 
 
 def test_long_value_that_has_begun_is_delivered_after_the_deadline() -> None:
@@ -141,22 +141,22 @@
     hop = rig.ask(command("aa01", d=300))
     hop.sendall(REPLY[:200])
     rig.until(lambda: bytes(rig.got).startswith(b"$%d\r\n\0\1" % len(LONG)))
-    transaction = rig.at.opened[0]
-    again = rig.at.exchange.send(transaction.name, "s-1", None)
+    transaction = rig.recorder.opened[0]
+    again = rig.recorder.exchange.send(transaction.name, "s-1", None)
     assert again is not None
     assert again.ended is Outcome.MOOT
-    end = rig.at.loop.now() + 0.4
-    rig.until(lambda: rig.at.loop.now() > end)  # past its deadline
-    assert rig.at.exchange.open_count == 1
+    end = rig.recorder.loop.now() + 0.4
+    rig.until(lambda: rig.recorder.loop.now() > end)  # past its deadline
+    assert rig.recorder.exchange.open_count == 1
     hop.sendall(REPLY[200:])
     rig.until(lambda: len(rig.got) == len(LONG) + 11)
     assert bytes(rig.got) == b"$%d\r\n%b\r\n" % (len(LONG), LONG)
-    rig.until(lambda: rig.at.exchange.open_count == 0)
-    assert [outcome for _, outcome in rig.at.ended] == [Outcome.MOOT, Outcome.OK]
-    assert (rig.at.exchange.ends["look"].succeeded, rig.hops.flows.open) == (1, 0)
+    rig.until(lambda: rig.recorder.exchange.open_count == 0)
+    assert [outcome for _, outcome in rig.recorder.ended] == [Outcome.MOOT, Outcome.OK]
+    assert (rig.recorder.exchange.ends["look"].succeeded, rig.hops.flows.open) == (1, 0)
     rig.client.sendall(command("aa02"))  # both connections remain usable
-    rig.until(lambda: len(rig.at.opened) == 2)
-    rig.at.exchange.send(rig.at.opened[1].name, "s-1", None)
+    rig.until(lambda: len(rig.recorder.opened) == 2)
+    rig.recorder.exchange.send(rig.recorder.opened[1].name, "s-1", None)
     read_until(hop, b"first=0\r\n")
     hop.sendall(VALUE)
     rig.until(lambda: rig.got.endswith(b"\r\nva\r\nl\r\n"))
@@ -170,18 +170,18 @@
     hop = rig.ask()
     hop.sendall(REPLY[:cut])
     hop.close()
-    rig.until(lambda: rig.at.ended)
+    rig.until(lambda: rig.recorder.ended)
     value = REPLY[4 : 4 + len(LONG) + 11]  # with its length line and terminator
     whole = cut >= 4 + len(value)
     if whole:  # the value is complete without the parts behind it
         rig.until(lambda: len(rig.got) == len(value))
-    elif rig.at.began:
+    elif rig.recorder.began:
         rig.until(lambda: rig.closed)
-        assert any(line.startswith("end caller cut_off") for line in rig.at.log)
+        assert any(line.startswith("end caller cut_off") for line in rig.recorder.log)
     assert value.startswith(bytes(rig.got))
     assert (bytes(rig.got) == value) == whole
-    ends = rig.at.exchange.ends["look"]
-    assert (ends.succeeded, ends.aborted) == (whole, bool(rig.at.began) and not whole)
+    ends = rig.recorder.exchange.ends["look"]
+    assert (ends.succeeded, ends.aborted) == (whole, bool(rig.recorder.began) and not whole)
     rig.close()
 
 
@@ -192,18 +192,18 @@
         super().__init__()
         texts = [command(f"aa{n:02}") for n in range(behind + 1)]
         self.client.sendall(b"".join(texts))
-        self.until(lambda: len(self.at.opened) == behind + 1)
+        self.until(lambda: len(self.recorder.opened) == behind + 1)
         self.sent: list[socket.socket] = []
-        for transaction in self.at.opened:
-            self.at.exchange.send(transaction.name, "s-1", None)
-            self.at.loop.call_later(0, int)
-            self.at.loop.run_once()
+        for transaction in self.recorder.opened:
+            self.recorder.exchange.send(transaction.name, "s-1", None)
+            self.recorder.loop.call_later(0, int)
+            self.recorder.loop.run_once()
             self.sent.append(self.hop.accept()[0])
             self.sent[-1].settimeout(LIMIT)
 
     def wait(self, seconds: float) -> None:
-        end = self.at.loop.now() + seconds
-        self.until(lambda: self.at.loop.now() > end)
+        end = self.recorder.loop.now() + seconds
+        self.until(lambda: self.recorder.loop.now() > end)
 
 
 @pytest.mark.parametrize("cut", [len(REPLY) // 2, len(REPLY) - 20])
@@ -231,7 +231,7 @@
     assert rig.got.startswith(b"-ERR")
     assert not rig.closed
     rig.wait(0.05)
-    assert (rig.side.value_budget.used, rig.hops.flows.open, rig.at.exchange.open_count) == (0, 0, 0)
+    assert (rig.side.value_budget.used, rig.hops.flows.open, rig.recorder.exchange.open_count) == (0, 0, 0)
     rig.close()
 
 
@@ -253,11 +253,11 @@
     rig = PipelinedRig(1)
     rig.sent[0].sendall(REPLY[:-100])
     rig.sent[1].sendall(VALUE)
-    deadline = rig.at.opened[0].deadline
+    deadline = rig.recorder.opened[0].deadline
     rig.until(lambda: rig.got.endswith(b"va\r\nl\r\n"))
-    assert rig.at.loop.now() - deadline < 0.2
+    assert rig.recorder.loop.now() - deadline < 0.2
     assert rig.got.startswith(b"-ERR")
-    assert (rig.side.value_budget.used, rig.hops.flows.open, rig.at.exchange.open_count) == (0, 0, 0)
+    assert (rig.side.value_budget.used, rig.hops.flows.open, rig.recorder.exchange.open_count) == (0, 0, 0)
     rig.close()
 
 
@@ -267,11 +267,11 @@
     hop.sendall(REPLY[:-100])
     rig.until(lambda: len(rig.got) > 1000)
     rig.client.sendall(command("aa02"))
-    end = rig.at.loop.now() + 0.1
-    rig.until(lambda: rig.at.loop.now() > end)
-    assert len(rig.at.opened) == 1
+    end = rig.recorder.loop.now() + 0.1
+    rig.until(lambda: rig.recorder.loop.now() > end)
+    assert len(rig.recorder.opened) == 1
     hop.sendall(REPLY[-100:])
-    rig.until(lambda: len(rig.at.opened) == 2)
+    rig.until(lambda: len(rig.recorder.opened) == 2)
     rig.close()
 
 
@@ -284,9 +284,9 @@
         target=lambda: _send(hop, b"*3\r\n$%d\r\n%b\r\n$-1\r\n$2\r\na=\r\n" % (size, bytes(size)))
     )
     writer.start()
-    run_until(rig.at.loop, lambda: rig.at.began)
+    run_until(rig.recorder.loop, lambda: rig.recorder.began)
     rig.client.sendall(command("aa02"))
-    run_until(rig.at.loop, lambda: len(rig.at.opened) == 2)  # the client has read nothing yet
+    run_until(rig.recorder.loop, lambda: len(rig.recorder.opened) == 2)  # the client has read nothing yet
     assert 0 < rig.side.value_budget.used <= size
     rig.until(lambda: len(rig.got) > size)
     rig.until(lambda: rig.side.value_budget.used == 0)
@@ -324,7 +324,7 @@
     hop.sendall(REPLY.replace(b"\r\n$-1", b"xx$-1"))
     rig.until(lambda: rig.closed)
     assert not rig.got.endswith(b"\r\n")
-    assert rig.at.ended[0][1] is Outcome.ERROR
+    assert rig.recorder.ended[0][1] is Outcome.ERROR
     rig.close()
 
 
@@ -336,19 +336,23 @@
     writer = threading.Thread(target=lambda: _send(hop, head + bytes(size) + b"\r\n"))
     writer.start()
     connection = next(iter(rig.side.connections))
-    run_until(rig.at.loop, lambda: rig.at.began)
+    run_until(rig.recorder.loop, lambda: rig.recorder.began)
     for _ in range(300):
-        rig.at.loop.call_later(0.001, int)
-        rig.at.loop.run_once()
+        rig.recorder.loop.call_later(0.001, int)
+        rig.recorder.loop.run_once()
         flow = connection.slots[0].flow
         assert flow is not None
         assert flow.buffered + len(connection.unsent) <= 2 * MAX_WINDOW
     assert flow is not None
     assert flow.remaining > 0
     rig.client.close()
-    run_until(rig.at.loop, lambda: rig.at.ended)
-    assert rig.at.ended[0][1] is Outcome.CANCELLED
-    assert (rig.at.exchange.ends["look"].gone, rig.at.exchange.open_count, rig.hops.flows.open) == (1, 0, 0)
+    run_until(rig.recorder.loop, lambda: rig.recorder.ended)
+    assert rig.recorder.ended[0][1] is Outcome.CANCELLED
+    assert (
+        rig.recorder.exchange.ends["look"].gone,
+        rig.recorder.exchange.open_count,
+        rig.hops.flows.open,
+    ) == (1, 0, 0)
     writer.join(LIMIT)
     rig.close()
 
--- a/tests/test_orderly_close.py
+++ b/tests/test_orderly_close.py
@@ -22,15 +22,19 @@
     """A client whose connection is idle after an answer."""
 
     def __init__(self, sent: bytes = PING) -> None:
-        self.at = Recorder()
-        self.side = ClientSide(self.at.loop, self.at.log.append, self.at.exchange, ("127.0.0.1", 0), 10)
+        self.recorder = Recorder()
+        self.side = ClientSide(
+            self.recorder.loop, self.recorder.log.append, self.recorder.exchange, ("127.0.0.1", 0), 10
+        )
         self.side.start_serving()
         self.client = socket.create_connection(self.side.address)
         self.client.settimeout(LIMIT)
         self.client.sendall(sent)
-        run_until(self.at.loop, lambda: self.side.connections)
+        run_until(self.recorder.loop, lambda: self.side.connections)
         self.connection = next(iter(self.side.connections))
-        run_until(self.at.loop, lambda: self.connection.answered or self.connection.buffer.data or not sent)
+        run_until(
+            self.recorder.loop, lambda: self.connection.answered or self.connection.buffer.data or not sent
+        )
 
     def crosses(self, monkeypatch: pytest.MonkeyPatch, name: str, sent: bytes) -> None:
         """Sends more bytes right after the named check of the connection has found none."""
@@ -47,7 +51,7 @@
     def close(self) -> None:
         """Closes the client and the loop."""
         self.client.close()
-        self.at.close()
+        self.recorder.close()
 
 
 def test_request_arriving_after_the_write_shutdown_is_dropped() -> None:
@@ -58,8 +62,8 @@
     assert one.client.recv(100) == b""
     one.client.sendall(command("aa02"))
     one.client.close()
-    run_until(one.at.loop, lambda: not one.side.connections)
-    assert one.at.opened == []
+    run_until(one.recorder.loop, lambda: not one.side.connections)
+    assert one.recorder.opened == []
     one.close()
 
 
@@ -77,7 +81,7 @@
     assert not one.side.connections
     assert read_until(one.client, b"\r\n") == b"+PONG\r\n"
     assert one.client.recv(100) == b""  # no reset
-    assert one.at.opened == []
+    assert one.recorder.opened == []
     one.close()
 
 
@@ -109,25 +113,25 @@
         if ends == "idle":
             wired.hops.close_idle("s-1")
         else:
-            wired.at.exchange.cancel(wired.at.opened[0].name, 0)
+            wired.recorder.exchange.cancel(wired.recorder.opened[0].name, 0)
         assert not wired.hops.connections
         assert at_backend.recv(100) == b""
         for sock in (client, at_backend):
             sock.close()
-        wired.at.close()
+        wired.recorder.close()
 
 
 def test_queued_connections_are_accepted_before_the_listener_closes() -> None:
     """The queue is longer than one accept batch; the rest used to be reset with the listener."""
-    at = Recorder()
-    side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 500)
+    recorder = Recorder()
+    side = ClientSide(recorder.loop, recorder.log.append, recorder.exchange, ("127.0.0.1", 0), 500)
     side.start_serving()
     clients = [socket.create_connection(side.address) for _ in range(150)]
     side.stop()
     assert len(side.connections) == len(clients)
     for client in clients:
         client.close()
-    at.close()
+    recorder.close()
 
 
 def test_nagle_is_disabled_on_both_sides() -> None:
@@ -145,4 +149,4 @@
             assert end.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         for sock in (client, at_backend):
             sock.close()
-        wired.at.close()
+        wired.recorder.close()
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -67,12 +67,19 @@
     """A next-hop side with TLS for one address, and requests sent through it."""
 
     def __init__(self, address: tuple[str, int], using: TlsOptions) -> None:
-        self.at = Recorder()
-        self.streams = TlsStreams(self.at.loop, self.at.log.append, using)
+        self.recorder = Recorder()
+        self.streams = TlsStreams(self.recorder.loop, self.recorder.log.append, using)
         self.side = NextHops(
-            self.at.loop, self.at.log.append, self.at.exchange, LIMIT, 600.0, 60.0, 10, self.streams.make
+            self.recorder.loop,
+            self.recorder.log.append,
+            self.recorder.exchange,
+            LIMIT,
+            600.0,
+            60.0,
+            10,
+            self.streams.make,
         )
-        self.at.exchange.next_hops = self.side
+        self.recorder.exchange.next_hops = self.side
         self.address, self.serial, self.revision = address, 0, 0
         self.set_route()
 
@@ -89,30 +96,30 @@
         head = [word, b"%016x" % 7, b"id%d" % self.serial, b"c=%b,t=plain,d=600000" % kind.encode()]
         message = resp.decode_command(head + ([] if body is None else [body]))
         request = Request(kind, "plain", "7", 600.0, 1.0, 1, 0, message)
-        transaction = self.at.exchange.open(request, self.at.loop.now(), lambda final: None)
-        sent = self.at.exchange.send(transaction.name, "tt-07", None)
+        transaction = self.recorder.exchange.open(request, self.recorder.loop.now(), lambda final: None)
+        sent = self.recorder.exchange.send(transaction.name, "tt-07", None)
         assert sent is not None
         return sent
 
     def ask(self, kind: str = "change", body: bytes | None = None) -> Outcome:
         branch = self.send(kind, body)
-        run_until(self.at.loop, lambda: branch.ended is not None)
+        run_until(self.recorder.loop, lambda: branch.ended is not None)
         assert branch.ended is not None
         return branch.ended
 
     def ends(self) -> list[str]:
-        return [line.split()[3] for line in self.at.log if line.startswith("end nexthop")]
+        return [line.split()[3] for line in self.recorder.log if line.startswith("end nexthop")]
 
     def ended(self, reason: str) -> None:
-        run_until(self.at.loop, lambda: reason in self.ends())
+        run_until(self.recorder.loop, lambda: reason in self.ends())
 
     def drop(self) -> None:
         self.side.close_idle("tt-07")
 
     def close(self) -> None:
         self.side.close()
-        self.at.close()
-        assert not [line for line in self.at.log if "fault" in line]
+        self.recorder.close()
+        assert not [line for line in self.recorder.log if "fault" in line]
 
 
 @contextmanager
@@ -126,13 +133,13 @@
 
 @pytest.mark.parametrize("newest", [V12, V13])
 def test_requests_are_served_over_tls_on_one_connection(tmp_path: Path, newest: ssl.TLSVersion) -> None:
-    with Box(server_context(CERT, newest=newest)) as box, rig(box.address, options(tmp_path)) as at:
-        assert at.ask() is Outcome.OK
-        assert at.ask("look") is Outcome.OK
-        at.drop()
+    with Box(server_context(CERT, newest=newest)) as box, rig(box.address, options(tmp_path)) as tls_rig:
+        assert tls_rig.ask() is Outcome.OK
+        assert tls_rig.ask("look") is Outcome.OK
+        tls_rig.drop()
         version = "TLSv1.3" if newest is V13 else "TLSv1.2"
-        assert "end nexthop tt-07 close_idle served=2 age=0.0" in at.at.log[-1]
-        assert f" {version} resumed=0 handshake=" in at.at.log[-1]
+        assert "end nexthop tt-07 close_idle served=2 age=0.0" in tls_rig.recorder.log[-1]
+        assert f" {version} resumed=0 handshake=" in tls_rig.recorder.log[-1]
         assert box.ran() == {"id1": 1, "id2": 1}
         assert box.counts.connections == 1
 
@@ -162,31 +169,31 @@
     tmp_path: Path, mode: Mode, cert: Any, changes: dict[str, Any], reason: str
 ) -> None:
     using = options(tmp_path, **changes)
-    with Box(server_context(cert), mode) as box, rig(box.address, using) as at:
-        assert at.ask() is Outcome.CONNECT_FAILED
+    with Box(server_context(cert), mode) as box, rig(box.address, using) as tls_rig:
+        assert tls_rig.ask() is Outcome.CONNECT_FAILED
         # a reset may be seen before the connection is reported as established
         early = ["connect_failed:ECONNRESET"] if mode.reset_accepts else [reason]
-        assert at.ends() in ([reason], early)
+        assert tls_rig.ends() in ([reason], early)
         assert not box.ran()
 
 
 def test_wildcard_matches_the_leftmost_label_and_cn_is_ignored(tmp_path: Path) -> None:
     with Box(server_context(AUTHORITY.issue("*.room-b.example.org"))) as box:
-        with rig(box.address, options(tmp_path)) as at:
-            assert at.ask() is Outcome.OK
+        with rig(box.address, options(tmp_path)) as tls_rig:
+            assert tls_rig.ask() is Outcome.OK
         box.forget_sessions(server_context(AUTHORITY.issue_odd(None, common_name=NAME)))
-        with rig(box.address, options(tmp_path)) as at:
-            assert at.ask() is Outcome.CONNECT_FAILED
-            assert at.ends() == ["wrong_name"]
+        with rig(box.address, options(tmp_path)) as tls_rig:
+            assert tls_rig.ask() is Outcome.CONNECT_FAILED
+            assert tls_rig.ends() == ["wrong_name"]
 
 
 def test_minimum_version_and_alpn_are_applied(tmp_path: Path) -> None:
     with Box(server_context(CERT, newest=V12, alpn=("resp2",))) as box:
-        with rig(box.address, options(tmp_path, minimum="1.3")) as at:
-            assert at.ask() is Outcome.CONNECT_FAILED
-            assert at.ends() == ["alert:70"]
-        with rig(box.address, options(tmp_path, alpn=("resp3", "resp2"))) as at:
-            assert at.ask() is Outcome.OK
+        with rig(box.address, options(tmp_path, minimum="1.3")) as tls_rig:
+            assert tls_rig.ask() is Outcome.CONNECT_FAILED
+            assert tls_rig.ends() == ["alert:70"]
+        with rig(box.address, options(tmp_path, alpn=("resp3", "resp2"))) as tls_rig:
+            assert tls_rig.ask() is Outcome.OK
 
 
 @pytest.mark.parametrize("newest", [V12, V13])
@@ -196,13 +203,13 @@
     """TLS 1.3 checks it after the client's handshake: a command written at once might count as run."""
     with Box(server_context(CERT, clients=AUTHORITY, newest=newest)) as box:
         chain, key = AUTHORITY.write(tmp_path, AUTHORITY.issue("ingress.example.org"))
-        with rig(box.address, options(tmp_path, certificate=str(chain), key=str(key))) as at:
-            assert at.ask() is Outcome.OK
+        with rig(box.address, options(tmp_path, certificate=str(chain), key=str(key))) as tls_rig:
+            assert tls_rig.ask() is Outcome.OK
         chain, key = STRANGER.write(tmp_path, STRANGER.issue("ingress.example.org"), "strange")
         chain.write_bytes(chain.read_bytes() + STRANGER.pem)
-        with rig(box.address, options(tmp_path, certificate=str(chain), key=str(key))) as at:
-            assert at.ask() is Outcome.CONNECT_FAILED
-            assert at.ends() == ["alert:48"]
+        with rig(box.address, options(tmp_path, certificate=str(chain), key=str(key))) as tls_rig:
+            assert tls_rig.ask() is Outcome.CONNECT_FAILED
+            assert tls_rig.ends() == ["alert:48"]
         assert box.ran() == {"id1": 1}
 
 
@@ -211,9 +218,9 @@
     tmp_path: Path, newest: ssl.TLSVersion, reason: str
 ) -> None:
     with Box(server_context(CERT, clients=AUTHORITY, newest=newest)) as box:
-        with rig(box.address, options(tmp_path)) as at:
-            assert at.ask() is Outcome.CONNECT_FAILED
-            assert at.ends() == [reason]
+        with rig(box.address, options(tmp_path)) as tls_rig:
+            assert tls_rig.ask() is Outcome.CONNECT_FAILED
+            assert tls_rig.ends() == [reason]
         assert not box.ran()
 
 
@@ -230,10 +237,10 @@
 def test_outcome_of_each_way_a_tls_connection_ends(
     tmp_path: Path, mode: Mode, outcome: Outcome, reason: str | None
 ) -> None:
-    with Box(server_context(CERT), mode) as box, rig(box.address, options(tmp_path)) as at:
-        assert at.ask() is outcome
+    with Box(server_context(CERT), mode) as box, rig(box.address, options(tmp_path)) as tls_rig:
+        assert tls_rig.ask() is outcome
         if reason is not None:
-            at.ended(reason)
+            tls_rig.ended(reason)
         assert box.ran() == {"id1": 1}
 
 
@@ -252,9 +259,9 @@
 
     thread = threading.Thread(target=serve)
     thread.start()
-    with listener, rig(listener.getsockname(), options(tmp_path)) as at:
-        assert at.ask() is Outcome.RESET
-        assert at.ends() == ["bad_tls:decryption_failed_or_bad_record_mac"]
+    with listener, rig(listener.getsockname(), options(tmp_path)) as tls_rig:
+        assert tls_rig.ask() is Outcome.RESET
+        assert tls_rig.ends() == ["bad_tls:decryption_failed_or_bad_record_mac"]
     thread.join(LIMIT)
 
 
@@ -264,12 +271,12 @@
 
         def exchange(up: int | None, down: int | None) -> tuple[Outcome, int, str]:
             relay.up, relay.down = up, down
-            with rig(relay.address, using) as at:
-                at.serial = next(serials)
-                outcome = at.ask()
-                at.drop()
+            with rig(relay.address, using) as tls_rig:
+                tls_rig.serial = next(serials)
+                outcome = tls_rig.ask()
+                tls_rig.drop()
             assert relay.ended.acquire(timeout=LIMIT)
-            return outcome, box.ran()[f"id{at.serial}"], at.ends()[0]
+            return outcome, box.ran()[f"id{tls_rig.serial}"], tls_rig.ends()[0]
 
         serials = iter(range(10**6))
         assert exchange(None, None)[:2] == (Outcome.OK, 1)
@@ -307,23 +314,23 @@
 
     thread = threading.Thread(target=serve)
     thread.start()
-    with listener, rig(listener.getsockname(), options(tmp_path)) as at:
-        make = at.side.make_stream
+    with listener, rig(listener.getsockname(), options(tmp_path)) as tls_rig:
+        make = tls_rig.side.make_stream
 
         def small(route: Route, sock: socket.socket) -> Any:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             return make(route, sock)
 
-        at.side.make_stream = small
-        branch = at.send(body=b"b" * 65000)
-        run_until(at.at.loop, lambda: branch.carrier.write_started)
-        rounds = at.at.loop.iteration + 20
-        run_until(at.at.loop, lambda: at.at.loop.iteration >= rounds)
+        tls_rig.side.make_stream = small
+        branch = tls_rig.send(body=b"b" * 65000)
+        run_until(tls_rig.recorder.loop, lambda: branch.carrier.write_started)
+        rounds = tls_rig.recorder.loop.iteration + 20
+        run_until(tls_rig.recorder.loop, lambda: tls_rig.recorder.loop.iteration >= rounds)
         assert not branch.carrier.fully_written
         thread.join(LIMIT)
         held[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         held[0].sock.close()
-        run_until(at.at.loop, lambda: branch.ended is not None)
+        run_until(tls_rig.recorder.loop, lambda: branch.ended is not None)
         assert branch.ended is Outcome.CONNECT_FAILED
 
 
@@ -346,14 +353,14 @@
 
     thread = threading.Thread(target=serve)
     thread.start()
-    with listener, rig(listener.getsockname(), options(tmp_path)) as at:
+    with listener, rig(listener.getsockname(), options(tmp_path)) as tls_rig:
         tracemalloc.start()
         try:
-            branch = at.send(body=body)
-            run_until(at.at.loop, lambda: branch.carrier.write_started)
+            branch = tls_rig.send(body=body)
+            run_until(tls_rig.recorder.loop, lambda: branch.carrier.write_started)
             assert not branch.carrier.fully_written
             go.set()
-            run_until(at.at.loop, lambda: branch.ended is not None)
+            run_until(tls_rig.recorder.loop, lambda: branch.ended is not None)
             peak = tracemalloc.get_traced_memory()[1] - sum(map(len, held))
         finally:
             tracemalloc.stop()
@@ -374,16 +381,16 @@
         self.context.keylog_filename = str(self.log)
         self.wire: Wire
 
-    def met(self, at: Rig) -> RecordWriter:
+    def met(self, tls_rig: Rig) -> RecordWriter:
         """Accepts the connection and does the handshake. Returns a writer for hand-made records."""
         self.wire = Wire(self.listener.accept()[0], self.context)
         thread = threading.Thread(target=self.wire.handshake)
         thread.start()
-        run_until(at.at.loop, lambda: not thread.is_alive())
+        run_until(tls_rig.recorder.loop, lambda: not thread.is_alive())
         return RecordWriter.of(self.log)
 
-    def command(self, at: Rig, branch: Branch) -> bytes:
-        run_until(at.at.loop, lambda: branch.carrier is None or branch.carrier.fully_written)
+    def command(self, tls_rig: Rig, branch: Branch) -> bytes:
+        run_until(tls_rig.recorder.loop, lambda: branch.carrier is None or branch.carrier.fully_written)
         return self.wire.read()
 
     def __enter__(self) -> ScriptedHop:
@@ -399,49 +406,49 @@
 
 @pytest.mark.parametrize("requested", [False, True])
 def test_key_updates_around_answers_are_handled(tmp_path: Path, requested: bool) -> None:
-    with ScriptedHop(tmp_path, 0) as hop, rig(hop.listener.getsockname(), options(tmp_path)) as at:
-        branch = at.send()
-        writer = hop.met(at)
+    with ScriptedHop(tmp_path, 0) as hop, rig(hop.listener.getsockname(), options(tmp_path)) as tls_rig:
+        branch = tls_rig.send()
+        writer = hop.met(tls_rig)
         for serial in range(4):
-            assert b"id%d" % (serial + 1) in hop.command(at, branch)  # also with the updated keys
+            assert b"id%d" % (serial + 1) in hop.command(tls_rig, branch)  # also with the updated keys
             before = writer.update(requested) if serial % 2 else b""
             hop.wire.put(before + writer.record(DATA, VALUE[:4]) + writer.update(requested))
             hop.wire.put(writer.record(DATA, VALUE[4:]) + writer.update(requested))
-            run_until(at.at.loop, lambda branch=branch: branch.ended is not None)  # type: ignore[misc]
+            run_until(tls_rig.recorder.loop, lambda branch=branch: branch.ended is not None)  # type: ignore[misc]
             assert branch.ended is Outcome.OK
             hop.wire.put(writer.update(requested))  # unread when the next command is written
-            branch = at.send()
-        assert not at.ends()
+            branch = tls_rig.send()
+        assert not tls_rig.ends()
 
 
 def test_late_ticket_is_stored_and_not_taken_for_an_answer(tmp_path: Path) -> None:
     """NewSessionTicket (RFC 8446, 4.6.1) arrives while the connection is idle and within an answer."""
-    with ScriptedHop(tmp_path, 0) as hop, rig(hop.listener.getsockname(), options(tmp_path)) as at:
-        first = at.send()
-        writer = hop.met(at)
-        hop.command(at, first)
+    with ScriptedHop(tmp_path, 0) as hop, rig(hop.listener.getsockname(), options(tmp_path)) as tls_rig:
+        first = tls_rig.send()
+        writer = hop.met(tls_rig)
+        hop.command(tls_rig, first)
         ticket = b"\0\0\x0e\x10" + b"\1\2\3\4" + b"\1n" + b"\0\5token" + b"\0\0"
         message = b"\4" + len(ticket).to_bytes(3) + ticket
         hop.wire.put(writer.record(DATA, VALUE[:9]) + writer.record(HANDSHAKE, message))
-        run_until(at.at.loop, lambda: at.streams.sessions.count("tt-07") == 1)
+        run_until(tls_rig.recorder.loop, lambda: tls_rig.streams.sessions.count("tt-07") == 1)
         assert first.ended is None
         hop.wire.put(writer.record(DATA, VALUE[9:]))
-        run_until(at.at.loop, lambda: first.ended is not None)
+        run_until(tls_rig.recorder.loop, lambda: first.ended is not None)
         hop.wire.put(writer.record(HANDSHAKE, message))
-        second = at.send()
-        hop.command(at, second)
+        second = tls_rig.send()
+        hop.command(tls_rig, second)
         hop.wire.put(writer.record(DATA, VALUE))
-        run_until(at.at.loop, lambda: second.ended is not None)
+        run_until(tls_rig.recorder.loop, lambda: second.ended is not None)
         assert [first.ended, second.ended] == [Outcome.OK, Outcome.OK]
-        assert at.ends() == []
+        assert tls_rig.ends() == []
 
 
 def test_bytes_sent_by_openssl_itself_do_not_count_as_the_command(tmp_path: Path) -> None:
     """An alert follows a partly written command, which is fully written once its own last byte is sent."""
-    with ScriptedHop(tmp_path, 0) as hop, rig(hop.listener.getsockname(), options(tmp_path)) as at:
-        branch = at.send()
-        hop.met(at)
-        hop.command(at, branch)
+    with ScriptedHop(tmp_path, 0) as hop, rig(hop.listener.getsockname(), options(tmp_path)) as tls_rig:
+        branch = tls_rig.send()
+        hop.met(tls_rig)
+        hop.command(tls_rig, branch)
         stream: Any = branch.carrier.connection.stream
         socket_before, room, sent = stream.sock, [0], []
 
@@ -481,12 +488,12 @@
 def test_pooled_connection_that_has_ended_gets_no_command(tmp_path: Path) -> None:
     for notify in (True, False):
         mode = Mode(answers=1, notify=notify)
-        with Box(server_context(CERT), mode) as box, rig(box.address, options(tmp_path)) as at:
-            assert at.ask() is Outcome.OK
+        with Box(server_context(CERT), mode) as box, rig(box.address, options(tmp_path)) as tls_rig:
+            assert tls_rig.ask() is Outcome.OK
             box.mode = Mode()
             # the connection has ended, but the loop has not seen it yet
-            run_until(at.at.loop, lambda box=box: box.counts.open == 0)  # type: ignore[misc]
-            assert at.ask() is Outcome.OK
+            run_until(tls_rig.recorder.loop, lambda box=box: box.counts.open == 0)  # type: ignore[misc]
+            assert tls_rig.ask() is Outcome.OK
             assert box.ran() == {"id1": 1, "id2": 1}
 
 
@@ -497,36 +504,36 @@
 def test_sessions_are_resumed_and_dropped_when_no_longer_valid(
     tmp_path: Path, newest: ssl.TLSVersion
 ) -> None:
-    with Box(server_context(CERT, newest=newest)) as box, rig(box.address, options(tmp_path)) as at:
+    with Box(server_context(CERT, newest=newest)) as box, rig(box.address, options(tmp_path)) as tls_rig:
 
         def again() -> tuple[int, int]:
-            at.drop()
-            assert at.ask() is Outcome.OK
-            return at.streams.full, at.streams.resumed
+            tls_rig.drop()
+            assert tls_rig.ask() is Outcome.OK
+            return tls_rig.streams.full, tls_rig.streams.resumed
 
         assert again() == (1, 0)
         assert again() == (1, 1)
         assert again() == (1, 2)
         assert (box.counts.full, box.counts.resumed) == (1, 2)
-        at.set_route(up_since=5.0)  # another process
+        tls_rig.set_route(up_since=5.0)  # another process
         assert again() == (2, 2)
         assert again() == (2, 3)
         box.forget_sessions(server_context(CERT, newest=newest))
-        held = at.streams.sessions.by_hop["tt-07"]
+        held = tls_rig.streams.sessions.by_hop["tt-07"]
         held[1].appendleft(held[1][-1])  # as if stored by another connection
-        before = at.streams.sessions.count("tt-07")
+        before = tls_rig.streams.sessions.count("tt-07")
         assert again() == (3, 3)  # declined: a full handshake on the same connection
-        assert at.streams.declined == 1
-        assert (before, at.streams.sessions.count("tt-07")) == (2, 1)  # the other one was dropped as well
+        assert tls_rig.streams.declined == 1
+        # The other session was dropped as well.
+        assert (before, tls_rig.streams.sessions.count("tt-07")) == (2, 1)
         assert again() == (3, 4)
-        at.streams.reload(at.streams.options)  # material of another generation
+        tls_rig.streams.reload(tls_rig.streams.options)  # material of another generation
         assert again() == (4, 4)
-        at.set_route(
-            up_since=5.0, zone="room-c"
-        )  # the expected name changes: the old session must not be used
-        at.drop()
-        assert at.ask() is Outcome.CONNECT_FAILED
-        assert at.ends()[-1] == "wrong_name"
+        # The expected name changes: the old session must not be used.
+        tls_rig.set_route(up_since=5.0, zone="room-c")
+        tls_rig.drop()
+        assert tls_rig.ask() is Outcome.CONNECT_FAILED
+        assert tls_rig.ends()[-1] == "wrong_name"
 
 
 def test_tls_1_3_tickets_are_used_once_and_the_store_is_bounded() -> None:
@@ -667,29 +674,30 @@
 
 def test_file_watch_loads_only_complete_material(tmp_path: Path) -> None:
     using = replace(own(tmp_path), watch=0.02)
-    with Box(server_context(CERT, clients=AUTHORITY)) as box, rig(box.address, using) as at:
+    with Box(server_context(CERT, clients=AUTHORITY)) as box, rig(box.address, using) as tls_rig:
         told: list[int] = []
-        at.streams.on_change = told.append
-        assert at.ask() is Outcome.OK
+        tls_rig.streams.on_change = told.append
+        assert tls_rig.ask() is Outcome.OK
         AUTHORITY.write(tmp_path, AUTHORITY.issue("new.example.org"), "other")
         (tmp_path / "other.pem").replace(tmp_path / "ingress.pem")  # the key is replaced later
-        run_until(at.at.loop, lambda: any("does not fit" in line for line in at.at.log))
-        assert at.streams.generation == 1
-        at.drop()
-        assert at.ask() is Outcome.OK  # with the previous material
+        run_until(tls_rig.recorder.loop, lambda: any("does not fit" in line for line in tls_rig.recorder.log))
+        assert tls_rig.streams.generation == 1
+        tls_rig.drop()
+        assert tls_rig.ask() is Outcome.OK  # with the previous material
         (tmp_path / "other.key").replace(tmp_path / "ingress.key")
-        run_until(at.at.loop, lambda: at.streams.generation == 2)
+        run_until(tls_rig.recorder.loop, lambda: tls_rig.streams.generation == 2)
         assert told == [2]
-        assert sum("does not fit" in line for line in at.at.log) == 1  # logged once, not at every check
-        at.drop()
-        assert at.ask() is Outcome.OK
-        assert at.streams.resumed == 1  # no session of the old material is resumed with the new one
+        # Logged once, not at every check.
+        assert sum("does not fit" in line for line in tls_rig.recorder.log) == 1
+        tls_rig.drop()
+        assert tls_rig.ask() is Outcome.OK
+        assert tls_rig.streams.resumed == 1  # no session of the old material is resumed with the new one
 
 
 def test_files_replaced_one_by_one_are_loaded_together(tmp_path: Path) -> None:
     """Reading them in between would log an error at each certificate renewal."""
-    at = Recorder()
-    streams = TlsStreams(at.loop, at.log.append, own(tmp_path))
+    recorder = Recorder()
+    streams = TlsStreams(recorder.loop, recorder.log.append, own(tmp_path))
     AUTHORITY.write(tmp_path, AUTHORITY.issue("new.example.org"), "other")
     streams.options = replace(streams.options, watch=1000.0)
     for name in ("ingress.pem", "ingress.key"):
@@ -698,8 +706,8 @@
         assert streams.generation == 1
     streams._watch()
     assert streams.generation == 2
-    assert not [line for line in at.log if "stays in use" in line]
-    at.close()
+    assert not [line for line in recorder.log if "stays in use" in line]
+    recorder.close()
 
 
 # States of a connection.
@@ -734,16 +742,25 @@
 
     def make_side(self) -> NextHops:
         folder = Path(os.environ["STANDFLOW_TEST_TMP"])
-        streams = TlsStreams(self.at.loop, self.at.log.append, options(folder, names={"s-1": NAME}))
+        streams = TlsStreams(
+            self.recorder.loop, self.recorder.log.append, options(folder, names={"s-1": NAME})
+        )
         return NextHops(
-            self.at.loop, self.at.log.append, self.at.exchange, 60.0, 600.0, 60.0, 10, streams.make
+            self.recorder.loop,
+            self.recorder.log.append,
+            self.recorder.exchange,
+            60.0,
+            600.0,
+            60.0,
+            10,
+            streams.make,
         )
 
     def accepted(self) -> Any:
         wire = Wire(self.hop.accept()[0], server_context(CERT))
         thread = threading.Thread(target=wire.handshake)
         thread.start()
-        run_until(self.at.loop, lambda: not thread.is_alive())
+        run_until(self.recorder.loop, lambda: not thread.is_alive())
         return Peer(wire)
 
 
