--- a/standflow/net/backend_connection.py
+++ b/standflow/net/backend_connection.py
@@ -298,8 +298,8 @@
         pending = self.pending
         if pending is None or pending.write_started:
             return ""
-        now, shut_at = self.owner.loop.now(), self.hop.writes_end_at
-        if shut_at is not None and now >= shut_at:
+        now, writes_end_at = self.owner.loop.now(), self.hop.writes_end_at
+        if writes_end_at is not None and now >= writes_end_at:
             return "drained"
         return "given_up" if now >= pending.deadline else ""
 
--- a/standflow/net/flow.py
+++ b/standflow/net/flow.py
@@ -71,12 +71,12 @@
         self.parts.append(memoryview(data))
         self.on_change()
 
-    def take(self, most: int) -> bytes:
-        """Removes and returns up to `most` bytes."""
+    def take(self, max_bytes: int) -> bytes:
+        """Removes and returns up to `max_bytes` bytes."""
         was, taken = self.capacity, bytearray()
-        while self.parts and len(taken) < most:
+        while self.parts and len(taken) < max_bytes:
             part = self.parts.popleft()
-            piece = part[: most - len(taken)]
+            piece = part[: max_bytes - len(taken)]
             taken += piece
             if len(piece) < len(part):
                 self.parts.appendleft(part[len(piece) :])
--- a/standflow/net/memory_budget.py
+++ b/standflow/net/memory_budget.py
@@ -18,11 +18,11 @@
         self.used = 0
         self.waiting: OrderedDict[Hashable, tuple[int, Callable[[], None]]] = OrderedDict()
 
-    def reserve(self, who: Hashable, size: int, granted: Callable[[], None]) -> bool:
+    def reserve(self, owner: Hashable, size: int, granted: Callable[[], None]) -> bool:
         """Returns true if the memory was reserved at once; otherwise `granted` is called when it is."""
         if self.try_reserve(size):
             return True
-        self.waiting[who] = (size, granted)
+        self.waiting[owner] = (size, granted)
         return False
 
     def try_reserve(self, size: int) -> bool:
@@ -32,9 +32,9 @@
         self.used += size
         return True
 
-    def cancel(self, who: Hashable) -> None:
+    def cancel(self, owner: Hashable) -> None:
         """Withdraws a waiting request."""
-        if self.waiting.pop(who, None) is not None:
+        if self.waiting.pop(owner, None) is not None:
             self._grant()
 
     def release(self, size: int) -> None:
@@ -47,9 +47,9 @@
 
     def _grant(self) -> None:
         while self.waiting:
-            who, (size, granted) = next(iter(self.waiting.items()))
+            owner, (size, granted) = next(iter(self.waiting.items()))
             if not self._fits(size):
                 return
-            del self.waiting[who]
+            del self.waiting[owner]
             self.used += size
             granted()
--- a/standflow/net/resp.py
+++ b/standflow/net/resp.py
@@ -288,14 +288,14 @@
         if key == b"d":
             time_index = number
     try:
-        patience, units = _whole(named[b"d"]), _decimal(named.get(b"units", b"1"))
+        time_left, units = _whole(named[b"d"]), _decimal(named.get(b"units", b"1"))
         spread, first = _whole(named.get(b"spread", b"1")), _whole(named.get(b"first", b"0"))
         class_name, plan = named[b"c"].decode("ascii"), named[b"t"].decode("ascii")
     except KeyError as error:
         raise CommandError(f"no option {error.args[0].decode()}") from None
     except ValueError:
         raise CommandError("bad number") from None
-    if not (0 < patience <= MAX_TIME_LEFT and 0 < units <= 1e6 and 1 <= spread <= 65535 and first <= 65535):
+    if not (0 < time_left <= MAX_TIME_LEFT and 0 < units <= 1e6 and 1 <= spread <= 65535 and first <= 65535):
         raise CommandError("bad number")
     before, after = b",".join(pieces[:time_index]), b",".join(pieces[time_index + 1 :])
     return Ask(
@@ -304,7 +304,7 @@
         tenant=parts[1].decode("ascii").lower(),
         class_name=class_name,
         plan=plan,
-        time_left=patience / 1000,
+        time_left=time_left / 1000,
         units=units,
         spread=spread,
         first=first,
@@ -329,9 +329,9 @@
     return float(text)
 
 
-def encode_ask(ask: Ask, left: float) -> tuple[bytes, ...]:
+def encode_ask(ask: Ask, time_left: float) -> tuple[bytes, ...]:
     """Encodes the command for a next hop with a new time left. A long body is not copied."""
-    options = b"%bd=%d%b" % (ask.options_before, max(1, int(left * 1000)), ask.options_after)
+    options = b"%bd=%d%b" % (ask.options_before, max(1, int(time_left * 1000)), ask.options_after)
     head = ask.head + bulk(options)
     if ask.body is None:
         return (head,)
--- a/standflow/net/routes.py
+++ b/standflow/net/routes.py
@@ -217,13 +217,13 @@
             self.loop.end(self.task)
 
     def _run(self, sock: socket.socket) -> Coroutine[None]:
-        reason, made = "", self.loop.now()
+        reason, started = "", self.loop.now()
         try:
             reason = yield from self._watch(sock)
         finally:
             sock.close()
             reason = reason or ("shutdown" if self.closed else self.close_reason)
-            self.log(f"end routes {reason} age={self.loop.now() - made:.2f}")
+            self.log(f"end routes {reason} age={self.loop.now() - started:.2f}")
             self._schedule_reconnect(CALL_ENDS.get(reason, CallEnd.FAILED))
 
     def _schedule_reconnect(self, end: CallEnd) -> None:
--- a/standflow/net/stream.py
+++ b/standflow/net/stream.py
@@ -54,8 +54,8 @@
     def flush(self) -> None:
         """Writes more of the unsent bytes, without waiting."""
 
-    def read(self, most: int = READ_SIZE) -> bytes:
-        """Returns up to `most` received bytes, or none; then `end_reason` says whether more can follow."""
+    def read(self, max_bytes: int = READ_SIZE) -> bytes:
+        """Returns up to `max_bytes` received bytes, or none; then `end_reason` says if more can follow."""
 
     def usable(self) -> bool:
         """Returns false if an idle stream can't carry another message."""
@@ -112,10 +112,10 @@
         if self.unsent_parts:
             self.unsent_parts[0] = self.unsent_parts[0][taken:]
 
-    def read(self, most: int = READ_SIZE) -> bytes:
+    def read(self, max_bytes: int = READ_SIZE) -> bytes:
         """See Stream."""
         try:
-            data = self.sock.recv(most)
+            data = self.sock.recv(max_bytes)
         except BlockingIOError:
             return b""
         if not data:
--- a/standflow/tls/material.py
+++ b/standflow/tls/material.py
@@ -73,7 +73,7 @@
     context = _context(options)
     pem = "".join(root.public_bytes(Encoding.PEM).decode("ascii") for root in current)
     context.load_verify_locations(cadata=pem)
-    ends = None
+    expires_at = None
     if options.certificate is not None and options.key is not None:
         chain = _certificates(options.certificate)
         _check_chain(options.certificate, chain, current, now)
@@ -82,22 +82,22 @@
             context.load_cert_chain(options.certificate, options.key, password=_no_password)
         except (ssl.SSLError, OSError) as error:
             raise MaterialError(f"{options.certificate}: {error}") from None
-        ends = min(one.not_valid_after_utc for one in chain)
-        if (ends - now).total_seconds() < options.warn:
-            warnings.append(expiry_warning(options.certificate, ends, now))
+        expires_at = min(one.not_valid_after_utc for one in chain)
+        if (expires_at - now).total_seconds() < options.warn:
+            warnings.append(expiry_warning(options.certificate, expires_at, now))
     last = min(current, key=lambda root: root.not_valid_after_utc).not_valid_after_utc
     if (last - now).total_seconds() < options.warn:
         warnings.append(expiry_warning(options.roots, last, now))
     if stamp(options) != before:
         raise MaterialError(f"{options.roots}: the files changed while they were read")
     has_client_certificate = options.certificate is not None
-    return Material(context, generation, before, ends, tuple(warnings), has_client_certificate)
+    return Material(context, generation, before, expires_at, tuple(warnings), has_client_certificate)
 
 
-def expiry_warning(path: str, ends: datetime, now: datetime) -> str:
+def expiry_warning(path: str, expires_at: datetime, now: datetime) -> str:
     """Returns the warning that a certificate expires soon."""
-    days = (ends - now).total_seconds() / 86400
-    return f"{path}: a certificate ends in {days:.1f} days, at {ends:%Y-%m-%dT%H:%M:%SZ}"
+    days = (expires_at - now).total_seconds() / 86400
+    return f"{path}: a certificate ends in {days:.1f} days, at {expires_at:%Y-%m-%dT%H:%M:%SZ}"
 
 
 def _context(options: TlsOptions) -> ssl.SSLContext:
@@ -134,16 +134,16 @@
 def _check_chain(
     path: str, chain: list[x509.Certificate], roots: list[x509.Certificate], now: datetime
 ) -> None:
-    for place, one in enumerate(chain, 1):
-        who = f"certificate {place} ({one.subject.rfc4514_string() or 'no subject'})"
+    for position, one in enumerate(chain, 1):
+        label = f"certificate {position} ({one.subject.rfc4514_string() or 'no subject'})"
         if now < one.not_valid_before_utc:
             raise MaterialError(
-                f"{path}: {who} is not valid before {one.not_valid_before_utc:%Y-%m-%dT%H:%M:%SZ}"
+                f"{path}: {label} is not valid before {one.not_valid_before_utc:%Y-%m-%dT%H:%M:%SZ}"
             )
         if now >= one.not_valid_after_utc:
-            raise MaterialError(f"{path}: {who} expired at {one.not_valid_after_utc:%Y-%m-%dT%H:%M:%SZ}")
-        if place < len(chain) and not _issued(one, chain[place]):
-            raise MaterialError(f"{path}: {who} is not issued by the one behind it")
+            raise MaterialError(f"{path}: {label} expired at {one.not_valid_after_utc:%Y-%m-%dT%H:%M:%SZ}")
+        if position < len(chain) and not _issued(one, chain[position]):
+            raise MaterialError(f"{path}: {label} is not issued by the one behind it")
     last = chain[-1]
     if last.issuer == last.subject or any(_issued(last, root) for root in roots):
         return
--- a/standflow/tls/stream.py
+++ b/standflow/tls/stream.py
@@ -187,11 +187,11 @@
 
     def _encrypt_chunk(self) -> None:
         """Encrypts the next piece of a long message."""
-        room = CHUNK
-        while self._plain and room:
-            piece = self._plain[0][:room]
+        space = CHUNK
+        while self._plain and space:
+            piece = self._plain[0][:space]
             self._obj.write(piece)
-            room -= len(piece)
+            space -= len(piece)
             self._plain[0] = self._plain[0][len(piece) :]
             if not self._plain[0]:
                 del self._plain[0]
@@ -213,10 +213,10 @@
             self._out = memoryview(bytes(self._out) + self._raw_out.read())
             self.flush()
 
-    def read(self, most: int = READ_SIZE) -> bytes:
+    def read(self, max_bytes: int = READ_SIZE) -> bytes:
         """See Stream."""
         try:
-            data = self.sock.recv(most)
+            data = self.sock.recv(max_bytes)
         except BlockingIOError:
             return b""
         if not data:
--- a/standflow/tls/streams.py
+++ b/standflow/tls/streams.py
@@ -47,7 +47,7 @@
         self._log_loaded(self.material)
         loop.every(COUNT_INTERVAL, self.log_counts)
         loop.every(WARN_INTERVAL, self._remind)
-        loop.every(lambda: self.options.watch or DISABLED_WATCH_INTERVAL, self._watch)
+        loop.every(lambda: self.options.watch or DISABLED_WATCH_INTERVAL, self._check_files)
 
     @property
     def generation(self) -> int:
@@ -118,14 +118,14 @@
         """Applies new options and rereads the files (on SIGHUP). A bad set changes nothing."""
         names_before = (self.options.names, self.options.rules)
         try:
-            self._take(options)
+            self._apply(options)
         except MaterialError as error:
             self.log(f"tls: {error}; the set before stays in use")
             return
         if (options.names, options.rules) != names_before:
             self.log("tls: names changed")
 
-    def _take(self, options: TlsOptions) -> None:
+    def _apply(self, options: TlsOptions) -> None:
         self.material = material.load(options, self.material.generation + 1)
         self.options, self._last_error = options, None
         self._last_stamp = self.material.stamp
@@ -139,7 +139,7 @@
         for warning in using.warnings:
             self.log(f"tls: {warning}")
 
-    def _watch(self) -> None:
+    def _check_files(self) -> None:
         """Reloads changed files once they are unchanged between two checks: files are replaced one by one."""
         if not self.options.watch:
             return
@@ -148,7 +148,7 @@
         if found == self.material.stamp or not unchanged:
             return
         try:
-            self._take(self.options)
+            self._apply(self.options)
         except MaterialError as error:
             if self._last_error != (str(error), found):
                 self._last_error = (str(error), found)
@@ -170,6 +170,6 @@
             self.log(f"tls: handshakes {counts}")
 
     def _remind(self) -> None:
-        now, ends = datetime.now(UTC), self.material.expires_at
-        if ends is not None and ends - now < timedelta(seconds=self.options.warn):
-            self.log(f"tls: {material.expiry_warning(self.options.certificate or '', ends, now)}")
+        now, expires_at = datetime.now(UTC), self.material.expires_at
+        if expires_at is not None and expires_at - now < timedelta(seconds=self.options.warn):
+            self.log(f"tls: {material.expiry_warning(self.options.certificate or '', expires_at, now)}")
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -206,7 +206,7 @@
 
 @pytest.mark.parametrize("looks", ["the cap", "a drain", "the sweep of a drain"])
 def test_request_of_a_closed_client_is_not_opened_by_eviction_or_drain(looks: str) -> None:
-    """PausedClient bytes are read before a connection is ended; here the client's close follows them."""
+    """Unread bytes are read before a connection is ended; here the client's close follows them."""
     recorder = Recorder()
     side = ClientSide(recorder.loop, recorder.log.append, recorder.exchange, ("127.0.0.1", 0), 10)
     side.start_serving()
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -482,7 +482,7 @@
 
 
 def test_expired_drain_spares_a_new_connection_before_its_first_command() -> None:
-    """An expired drain used to close new connections whose commands were under way: 3 to 8 of 5,100."""
+    """1.5 s into an evacuation new connections used to be closed over commands under way: 3 to 8 of 5,100."""
     recorder = Recorder()
     side = ClientSide(recorder.loop, recorder.log.append, recorder.exchange, ("127.0.0.1", 0), 4)
     side.start_serving()
@@ -572,8 +572,8 @@
         client.sendall(command("ffff"))
         since = recorder.loop.now()
         time.sleep(0.02)
-        rounds = recorder.loop.iteration
-        run_until(recorder.loop, lambda: recorder.loop.iteration >= rounds + 3)  # the loop has caught up
+        iterations = recorder.loop.iteration
+        run_until(recorder.loop, lambda: recorder.loop.iteration >= iterations + 3)  # the loop has caught up
         for transaction in recorder.opened[:2]:
             recorder.exchange.fail(transaction.name)
             run_until(recorder.loop, lambda: len(recorder.opened) > MAX_PIPELINED)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -324,8 +324,8 @@
         tls_rig.side.make_stream = small
         branch = tls_rig.send(body=b"b" * 65000)
         run_until(tls_rig.recorder.loop, lambda: branch.carrier.write_started)
-        rounds = tls_rig.recorder.loop.iteration + 20
-        run_until(tls_rig.recorder.loop, lambda: tls_rig.recorder.loop.iteration >= rounds)
+        iterations = tls_rig.recorder.loop.iteration + 20
+        run_until(tls_rig.recorder.loop, lambda: tls_rig.recorder.loop.iteration >= iterations)
         assert not branch.carrier.fully_written
         thread.join(LIMIT)
         held[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
@@ -702,9 +702,9 @@
     streams.options = replace(streams.options, watch=1000.0)
     for name in ("ingress.pem", "ingress.key"):
         (tmp_path / name.replace("ingress", "other")).replace(tmp_path / name)
-        streams._watch()
+        streams._check_files()
         assert streams.generation == 1
-    streams._watch()
+    streams._check_files()
     assert streams.generation == 2
     assert not [line for line in recorder.log if "stays in use" in line]
     recorder.close()
