--- a/hoistfold/adapter.py
+++ b/hoistfold/adapter.py
@@ -20,7 +20,7 @@
 AVAILABILITY = {
     "active": i.Availability.ACTIVE,
     "leaving": i.Availability.DRAINING,
-    "left": i.Availability.GONE,
+    "left": i.Availability.REMOVED,
 }
 SIZE_HINTS = {
     "off": i.SizeHint.NONE,
@@ -89,8 +89,8 @@
         worth=float(raw["Value"]),
         late_worth=float(raw["LateWorth"]),
         effect=EFFECTS[raw["Effect"]],
-        scope=i.Scope(raw["DedupScope"]),
-        memory=seconds(raw["WindowUs"]),
+        dedup_scope=i.DedupScope(raw["DedupScope"]),
+        dedup_window=seconds(raw["WindowUs"]),
         stream=bool(raw["Stream"]),
         aim_stretch=float(raw.get("AimStretch", 0)),
     )
@@ -128,7 +128,7 @@
         report_fields=tuple(REPORT_FIELDS.get(name, name) for name in raw["Feedback"]["Fields"]),
         may_cancel=bool(caps["Cancel"]),
         may_probe=bool(caps["Probes"]),
-        may_tell_peers=bool(caps["PeerMessages"]),
+        may_message_peers=bool(caps["PeerMessages"]),
         second_copies=bool(caps["SecondCopies"]),
         retry_after=bool(caps["RetryAfter"]),
         max_attempts=int(caps["TryLimit"]),
@@ -148,7 +148,7 @@
         late_fail_price=float(prices["LateFail"]),
         probe_price=float(prices["Probe"]),
         peer_price=float(prices["Peer"]),
-        may_count=bool(family.get("Counter", False)),
+        may_use_counter=bool(family.get("Counter", False)),
         count_limit=seconds(family.get("CountLimitUs", 80_000)),
     )
 
@@ -173,7 +173,7 @@
         request=f["Ticket"],
         class_name=f["Profile"],
         plan=f["Plan"],
-        customer=f["Customer"],
+        tenant=f["Customer"],
         time_left=seconds(f["LeftUs"]),
         units=float(f["PriceUnits"]),
         ring_size=int(f["EntryPoints"]),
@@ -205,7 +205,7 @@
 def read_count(f: Fields) -> i.Event:
     """TOTAL."""
     outcome = OUTCOMES[int(f["How"])]
-    return i.CountAnswered(int(f["Cname"]), outcome, float(f.get("Sum", 0)), seconds(f["LatencyUs"]))
+    return i.CounterAnswered(int(f["Cname"]), outcome, float(f.get("Sum", 0)), seconds(f["LatencyUs"]))
 
 
 def read_peer(f: Fields) -> i.Event:
@@ -224,7 +224,7 @@
     "REPLY": read_attempt,
     "REMINDER": lambda f: i.TimerFired(int(f["Handle"])),
     "FROM_PEER": read_peer,
-    "VANISHED": lambda f: i.RequestGone(f["Ticket"]),
+    "VANISHED": lambda f: i.RequestCancelled(f["Ticket"]),
     "PROBED": read_probe,
     "TOTAL": read_count,
     "ACK_FIRST": read_stream,
@@ -244,7 +244,7 @@
             return f"SHED Door={door} Ticket={request}{advice}"
         case i.Fail(request):
             return f"RESPOND_ERROR Door={door} Ticket={request}"
-        case i.TellPeer(peer, content):
+        case i.SendPeerMessage(peer, content):
             text = base64.b64encode(content).decode() or "-"
             return f"TELL Door={door} Dest={'all' if peer is None else peer} Content={text}"
         case i.Cancel(request, attempt):
@@ -253,7 +253,7 @@
             return f"SAMPLE Door={door} Backend={backend}"
         case i.Log(text):
             return f"WRITE_LOG Door={door} BodyText={text}"
-        case i.Count(name, amount, lifetime):
+        case i.AddToCounter(name, amount, lifetime):
             return f"ADD Door={door} Cname={name} Step={amount:g} ExpireInUs={micros(lifetime)}"
         case i.CloseIdle(backend):
             return f"RELEASE Door={door} Backend={backend}"
@@ -261,7 +261,7 @@
             return f"LIST_ALL Door={door}"
         case i.Subscribe(wanted):
             return f"WATCH Door={door} Want={int(wanted)}"
-        case i.UseNoted():
+        case i.UseReported():
             raise ValueError("the simulator's wire knows no second witness")
 
 
--- a/hoistfold/brain.py
+++ b/hoistfold/brain.py
@@ -54,22 +54,22 @@
             i.RequestArrived: self._arrive,
             i.AttemptEnded: self._attempt_ended,
             i.TimerFired: self._timer,
-            i.RequestGone: lambda event: self.requests.pop(event.request, None),
+            i.RequestCancelled: lambda event: self.requests.pop(event.request, None),
             i.StreamStarted: self._stream_started,
-            i.Retuned: self._retuned,
+            i.SettingsChanged: self._retuned,
             i.PeerMessage: self._peer_message,
-            i.UseWitnessed: self._witnessed,
-            i.CountAnswered: lambda event: self.stores.answered(self.now, event),
-            i.FleetSeen: self._fleet_seen,
+            i.UseObserved: self._witnessed,
+            i.CounterAnswered: lambda event: self.stores.answered(self.now, event),
+            i.MembershipChanged: self._fleet_seen,
         }
         # every peer is told each epoch, in three quarters of what a receiver takes in, or only notes leave
-        told = 0 if settings.witness and not settings.may_tell_peers else len(self.peers)
+        told = 0 if settings.counter_reconciliation and not settings.may_message_peers else len(self.peers)
         self.epoch = max(0.1, told / (0.75 * max(settings.peer_intake, 1.0)))
-        self.allowance = ALLOWANCE if settings.may_tell_peers or settings.witness else 1.0
+        self.allowance = ALLOWANCE if settings.may_message_peers or settings.counter_reconciliation else 1.0
         self.stores = Stores(settings.count_limit, lambda action: self.actions.append(action))
         # where a lap takes longer than a window the members without use are skipped
         window = min((plan.burst / plan.rate for plan in settings.plans if plan.rate), default=math.inf)
-        self.long_ring = settings.may_tell_peers and settings.gateways * self.epoch > window
+        self.long_ring = settings.may_message_peers and settings.gateways * self.epoch > window
         self.epoch = IDLE_FOR / 4 if self.long_ring else self.epoch
         self.priority = ClassPriority()
         self.coordination = Coordination(self, self._admit, self._within_quota)
@@ -91,7 +91,7 @@
 
     def _arrive(self, event: i.RequestArrived) -> None:
         kind, plan = self.classes[event.class_name], self.plans[event.plan]
-        key = hashlib.blake2b(f"{plan.name} {event.customer}".encode(), digest_size=5).digest()
+        key = hashlib.blake2b(f"{plan.name} {event.tenant}".encode(), digest_size=5).digest()
         quota = self.quota_of(key, plan, event.ring_first, event.ring_size)
         self._drain(quota)
         self._share(quota, event.units)
@@ -138,7 +138,7 @@
 
     def _contended(self, quota: Quota, units: float, others: list[int]) -> bool:
         """Little is left of a quota, and the other side of a cut that has just begun may take the same."""
-        on_ring = self.fleet is not None and self.settings.may_tell_peers
+        on_ring = self.fleet is not None and self.settings.may_message_peers
         if not on_ring or quota.part < 1 or not quota.plan.rate or quota.holds_one_from_each(units):
             return False
         reached = (n for n in others if n not in self.partition.unreached)
@@ -223,13 +223,17 @@
         if not risky or not harmful:
             return True
         # a keyed repeat must arrive while it is still remembered
-        until = risky[0].sent + kind.memory - self.settings.dial_timeout
-        remembered = all(attempt.backend.remembers_with(backend, kind.scope) for attempt in risky)
+        until = risky[0].sent + kind.dedup_window - self.settings.dial_timeout
+        remembered = all(attempt.backend.remembers_with(backend, kind.dedup_scope) for attempt in risky)
         return kind.effect is i.Effect.KEYED and self.now <= until and remembered
 
     def _may_refuse(self, request: Request) -> bool:
         kind = request.kind
-        harmless = kind.effect is i.Effect.KEYED and kind.scope is i.Scope.ALL or kind.effect is i.Effect.SAFE
+        harmless = (
+            kind.effect is i.Effect.KEYED
+            and kind.dedup_scope is i.DedupScope.ALL
+            or kind.effect is i.Effect.SAFE
+        )
         return harmless or not any(attempt.may_have_run for attempt in request.attempts)
 
     def _fail(self, request: Request) -> None:
@@ -353,7 +357,7 @@
 
     def _listed(self, event: i.BackendsListed) -> None:
         """What is gone, or missing from a whole list, is forgotten and so gets nothing more."""
-        named = {e.backend: e for e in event.entries if e.availability is not i.Availability.GONE}
+        named = {e.backend: e for e in event.entries if e.availability is not i.Availability.REMOVED}
         told = {e.backend for e in event.entries} if event.kind is i.ListKind.CHANGES else set(self.backends)
         self.backends = {name: b for name, b in self.backends.items() if name in named or name not in told}
         for name, entry in named.items():
@@ -407,15 +411,15 @@
 
     # A view of the fleet, where one is kept.
 
-    def _fleet_seen(self, event: i.FleetSeen) -> None:
+    def _fleet_seen(self, event: i.MembershipChanged) -> None:
         """Who has come or come back is told the windows again, by whoever is before it in a ring."""
         if self.fleet is None:  # since it hears the others they may tell it what they have used
             self.asks_until = min(self.now, self.first_heard) + max(ASKING, 4 * self.epoch)
-        self.fleet, self.fleet_at, self.among = event, self.now, event.among
+        self.fleet, self.fleet_at, self.among = event, self.now, event.slow_start_members
         self._note_partition()
         self._extend()
         for quota in self.quotas.values() if event.returned else ():
-            following = (n for n in self.members(quota, quota.place)[1:] if n in event.present)
+            following = (n for n in self.members(quota, quota.place)[1:] if n in event.alive)
             if next(following, None) in event.returned and quota.own + quota.others:
                 for place in quota.counts:
                     self._news(quota, place, TWICE)
@@ -423,7 +427,7 @@
     def _note_partition(self) -> None:
         """Who is not reached, by the membership and by who was heard on the ring, where it tells of all."""
         if self.fleet is not None:
-            numbers = self.peers if self.settings.may_tell_peers and not self.long_ring else ()
+            numbers = self.peers if self.settings.may_message_peers and not self.long_ring else ()
             silences = {n: self.now - max(self.peers[n].heard, self.started_at) for n in numbers}
             self.partition = partition_of(self.fleet, silences, self.epoch)
 
@@ -445,32 +449,34 @@
         self._forget(IDLE_FOR)
         self.stores.again(self.now)
         self._note_partition()
-        if self.settings.witness:
+        if self.settings.counter_reconciliation:
             self._note()
-        due = dict.fromkeys(() if self.long_ring or not self.settings.may_tell_peers else self.peers, b"")
+        due = dict.fromkeys(() if self.long_ring or not self.settings.may_message_peers else self.peers, b"")
         # those nearest their quota first: where a message is full, the rest waits for the next epoch
         for quota in self._fullest(self.telling, MOST) if due else ():
             self._tell(quota, due)
         for number, entries in due.items():
-            self.actions.append(i.TellPeer(number, seal(entries)))
+            self.actions.append(i.SendPeerMessage(number, seal(entries)))
 
     def _note(self) -> None:
         """What a second witness is to know of this gateway's use; of what has drained, no more after that."""
         for quota in self._fullest(self.touched, MOST):
             level, full, count = quota.own / quota.plan.burst, quota.fullness, quota.counts[quota.place]
-            self.actions.append(i.UseNoted(quota.key, quota.size, quota.place, count, level, full))
+            self.actions.append(i.UseReported(quota.key, quota.size, quota.place, count, level, full))
             if quota.own + quota.others < 1 / SCALE:
                 del self.touched[quota.key]
 
-    def _witnessed(self, event: i.UseWitnessed) -> None:
+    def _witnessed(self, event: i.UseObserved) -> None:
         """Merged as what the ring tells; of one that was emptied and holds too little, nothing."""
-        quota = self.quotas.get(event.key)
-        if quota is not None and event.place < quota.size:
+        quota = self.quotas.get(event.tenant_key)
+        if quota is not None and event.ring_index < quota.size:
             self._drain(quota)
-            if event.place != quota.place:
+            if event.ring_index != quota.place:
                 quota.witnessed, quota.since = self.now, 0.0
-            if (event.count - quota.counts.get(event.place, event.count)) & 0xFFFF <= 0x7FFF:
-                self.merge(quota, event.place, event.count, round(event.level * quota.plan.burst * SCALE))
+            if (event.count - quota.counts.get(event.ring_index, event.count)) & 0xFFFF <= 0x7FFF:
+                self.merge(
+                    quota, event.ring_index, event.count, round(event.level * quota.plan.burst * SCALE)
+                )
 
     def _tell(self, quota: Quota, due: dict[int, bytes]) -> None:
         """Adds a customer's untold places to the messages for its successor, as far as they fit."""
@@ -517,6 +523,6 @@
                     told = packed(
                         self.settings.plans, quota, MessageKind.TELL, entry.place, quota.own + quota.others
                     )
-                    self.actions.append(i.TellPeer(number, seal(told)))
+                    self.actions.append(i.SendPeerMessage(number, seal(told)))
             elif entry.what == MessageKind.TOTAL and sender in quota.owing:
                 self.coordination.total(quota, sender, entry)
--- a/hoistfold/coordinators.py
+++ b/hoistfold/coordinators.py
@@ -167,7 +167,7 @@
         room = (ROOM - len(entry)) // ENTRY.size
         for key in list(reports)[:room]:
             entry += self._report(reports.pop(key))
-        self.gateway.actions.append(i.TellPeer(receiver, seal(entry)))
+        self.gateway.actions.append(i.SendPeerMessage(receiver, seal(entry)))
 
     def _report(self, quota: Quota) -> bytes:
         return packed(self.gateway.settings.plans, quota, MessageKind.TELL, quota.place, quota.own)
--- a/hoistfold/counted.py
+++ b/hoistfold/counted.py
@@ -123,7 +123,7 @@
         else:
             unheard()
 
-    def answered(self, now: float, event: i.CountAnswered) -> None:
+    def answered(self, now: float, event: i.CounterAnswered) -> None:
         """The totals of one name come in the order of the calls."""
         self.now, waiting = now, self.calls.get(event.name)
         if not waiting:
@@ -166,4 +166,4 @@
         digest = hashlib.blake2b(quota.key + which.encode(), digest_size=8).digest()
         name = int.from_bytes(digest) >> 1
         self.calls.setdefault(name, deque()).append((told, refused))
-        self.act(i.Count(name, amount, LIFE))
+        self.act(i.AddToCounter(name, amount, LIFE))
--- a/hoistfold/interface.py
+++ b/hoistfold/interface.py
@@ -17,7 +17,7 @@
     UNSAFE = "unsafe"
 
 
-class Scope(Enum):
+class DedupScope(Enum):
     """The backends that drop a keyed request's repeats."""
 
     ALL = "all"
@@ -56,7 +56,7 @@
 
     ACTIVE = "active"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 class SizeHint(Enum):
@@ -86,8 +86,8 @@
     worth: float
     late_worth: float
     effect: Effect
-    scope: Scope
-    memory: float
+    dedup_scope: DedupScope
+    dedup_window: float
     stream: bool
     aim_stretch: float
 
@@ -124,7 +124,7 @@
     report_fields: tuple[str, ...]
     may_cancel: bool
     may_probe: bool
-    may_tell_peers: bool
+    may_message_peers: bool
     second_copies: bool
     retry_after: bool
     max_attempts: int
@@ -144,9 +144,11 @@
     late_fail_price: float
     probe_price: float
     peer_price: float
-    witness: bool = False  # use is noted for a second witness beside the ring, and heard from it
-    membership: bool = False  # FleetSeen tells which gateways are there, as soon as that is known
-    may_count: bool = False  # the counter service may be called
+    counter_reconciliation: bool = (
+        False  # use is noted for a second witness beside the ring, and heard from it
+    )
+    membership: bool = False  # MembershipChanged tells which gateways are there, as soon as that is known
+    may_use_counter: bool = False  # the counter service may be called
     count_limit: float = 0.08  # seconds after which a call of it counts as unanswered
 
 
@@ -169,7 +171,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Retuned:
+class SettingsChanged:
     """New settings: classes and the number of attempts may differ. What is open keeps its own class."""
 
     settings: Settings
@@ -195,7 +197,7 @@
     request: str
     class_name: str
     plan: str
-    customer: str
+    tenant: str
     time_left: float
     units: float
     ring_size: int
@@ -203,7 +205,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class RequestGone:
+class RequestCancelled:
     """The client left; nothing more is owed."""
 
     request: str
@@ -260,7 +262,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CountAnswered:
+class CounterAnswered:
     """The answer of the counter service."""
 
     name: int
@@ -270,48 +272,48 @@
 
 
 @dataclass(slots=True, frozen=True)
-class UseWitnessed:
+class UseObserved:
     """A second witness tells a member's running count for a customer, and its level as a part of the burst.
 
     The place is that of the customer's ring; counts wrap as those of peer messages do.
     """
 
-    key: bytes
-    place: int
+    tenant_key: bytes
+    ring_index: int
     count: int
     level: float
 
 
 @dataclass(slots=True, frozen=True)
-class FleetSeen:
+class MembershipChanged:
     """Which gateways are there, by a view that they keep among themselves; without one, no such event comes.
 
     `missing` are unreachable: dead, or cut off. `major`: this side may take over what is theirs, as no other
     can. Cold backends are divided `among` these. `returned` have come, or come back, since the last event.
     """
 
-    present: frozenset[int]
-    missing: frozenset[int]
-    major: bool
-    among: frozenset[int]
+    alive: frozenset[int]
+    unreachable: frozenset[int]
+    has_quorum: bool
+    slow_start_members: frozenset[int]
     returned: frozenset[int]
 
 
 Event = (
     Started
-    | Retuned
+    | SettingsChanged
     | BackendsListed
     | ListFailed
     | RequestArrived
-    | RequestGone
+    | RequestCancelled
     | TimerFired
     | StreamStarted
     | PeerMessage
     | ProbeEnded
     | AttemptEnded
-    | CountAnswered
-    | UseWitnessed
-    | FleetSeen
+    | CounterAnswered
+    | UseObserved
+    | MembershipChanged
 )
 
 
@@ -356,7 +358,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TellPeer:
+class SendPeerMessage:
     """A message to one gateway, or to all when peer is None."""
 
     peer: int | None
@@ -364,7 +366,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Count:
+class AddToCounter:
     """Add to a named number of the counter service."""
 
     name: int
@@ -407,18 +409,18 @@
 
 
 @dataclass(slots=True, frozen=True)
-class UseNoted:
+class UseReported:
     """This gateway's own running count for a customer, for a second witness.
 
     `level` is its own part of the window, `fullness` that of all, both as parts of the burst.
     """
 
-    key: bytes
-    size: int
-    place: int
+    tenant_key: bytes
+    ring_size: int
+    ring_index: int
     count: int
     level: float
-    fullness: float
+    total_level: float
 
 
 Action = (
@@ -427,12 +429,12 @@
     | Refuse
     | Fail
     | Probe
-    | TellPeer
-    | Count
+    | SendPeerMessage
+    | AddToCounter
     | CloseIdle
     | SetTimer
     | FetchList
     | Subscribe
     | Log
-    | UseNoted
+    | UseReported
 )
--- a/hoistfold/partition.py
+++ b/hoistfold/partition.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection, Mapping, Sequence, Set
 from dataclasses import dataclass
 
-from hoistfold.interface import FleetSeen
+from hoistfold.interface import MembershipChanged
 
 MINORITY_PART = 0.1  # of its even shares, for the side of a cut that may not take over
 SILENT_EPOCHS = 4  # without a message after which a member counts as not heard
@@ -36,15 +36,15 @@
         return MINORITY_PART * (len(ring) - unreached) / len(ring)
 
 
-def partition_of(fleet: FleetSeen, silences: Mapping[int, float], epoch_seconds: float) -> Partition:
+def partition_of(fleet: MembershipChanged, silences: Mapping[int, float], epoch_seconds: float) -> Partition:
     """What follows from the membership and from the seconds for which each other member was not heard."""
-    unreached = fleet.missing | _silent(fleet, silences, epoch_seconds)
-    reached = fleet.present - unreached
+    unreached = fleet.unreachable | _silent(fleet, silences, epoch_seconds)
+    reached = fleet.alive - unreached
     # a member that nobody hears is told that it has no quorum, whatever it hears itself
-    return Partition(unreached, fleet.major and _is_majority(reached, unreached))
+    return Partition(unreached, fleet.has_quorum and _is_majority(reached, unreached))
 
 
-def _silent(fleet: FleetSeen, silences: Mapping[int, float], epoch_seconds: float) -> frozenset[int]:
+def _silent(fleet: MembershipChanged, silences: Mapping[int, float], epoch_seconds: float) -> frozenset[int]:
     """Those held for present and not heard.
 
     One whose messages alone do not come is vouched for by others, and counts as present in the end; but while
@@ -54,7 +54,7 @@
     return frozenset(
         number
         for number, silence in silences.items()
-        if number in fleet.present and silence >= least and (fleet.missing or silence < BELIEVED_SECONDS)
+        if number in fleet.alive and silence >= least and (fleet.unreachable or silence < BELIEVED_SECONDS)
     )
 
 
--- a/hoistfold/state.py
+++ b/hoistfold/state.py
@@ -87,9 +87,9 @@
         """Attempts out at once from here."""
         return len(self.pending)
 
-    def remembers_with(self, other: Backend, scope: i.Scope) -> bool:
+    def remembers_with(self, other: Backend, scope: i.DedupScope) -> bool:
         """True when both drop repeats of the same keyed requests."""
-        if scope is i.Scope.ALL or self is other:
+        if scope is i.DedupScope.ALL or self is other:
             return True
         return bool(getattr(self.entry, scope.value) == getattr(other.entry, scope.value))
 
@@ -229,8 +229,12 @@
         self.epoch = 0.1  # seconds between tellings
         self.long_ring = False
         # the counter keeps the totals where no peer may be told
-        self.counting = settings.may_count and not settings.may_tell_peers and not settings.witness
-        self.fleet: i.FleetSeen | None = None  # where a view is kept
+        self.counting = (
+            settings.may_use_counter
+            and not settings.may_message_peers
+            and not settings.counter_reconciliation
+        )
+        self.fleet: i.MembershipChanged | None = None  # where a view is kept
         self.first_heard = math.inf  # when any other gateway was
         self.took_over = False  # from another process of this gateway, with all that it knew
         self.partition = Partition()  # by the membership, and by who is heard
@@ -295,7 +299,7 @@
         The others fell silent within four epochs, and what they used in that time is taken off. Nothing is
         known before a gateway has listened that long; where a second witness is silent too, it is cut off.
         """
-        plan, cut_off = quota.plan, self.settings.witness
+        plan, cut_off = quota.plan, self.settings.counter_reconciliation
         if not quota.alone or not plan.rate or cut_off or self.now < self.asks_until:
             return 0.0
         return 1 - 4 * self.epoch * plan.rate / plan.burst
@@ -378,7 +382,7 @@
         quota.own_rate += units / 2
         quota.ceiling -= 0.0 if ceiling_granted else units * quota.size
         quota.counts[quota.place] = (quota.counts[quota.place] + round(units * SCALE)) & 0xFFFF
-        if self.settings.witness and quota.size > 1 and quota.plan.rate:
+        if self.settings.counter_reconciliation and quota.size > 1 and quota.plan.rate:
             self.touched[quota.key] = quota
 
     def _drain(self, quota: Quota) -> None:
@@ -414,7 +418,7 @@
             self.quotas, self.telling = kept, {k: q for k, q in self.telling.items() if k in kept}
             self.touched = {k: q for k, q in self.touched.items() if k in kept}
 
-    def _retuned(self, event: i.Retuned) -> None:
+    def _retuned(self, event: i.SettingsChanged) -> None:
         """What is open keeps its own class, and what was learnt stays as long as something needs it."""
         self.settings, self.usual_left = event.settings, {}
         self.classes = {kind.name: kind for kind in event.settings.classes}
--- a/lab/bench_counter.py
+++ b/lab/bench_counter.py
@@ -342,7 +342,7 @@
     and customers in the ledger.
     """
     before, ledger, timers = resident(), Ledger(), deque[tuple[float, int]]()
-    gateway = Gateway(settings(0, INGRESSES, witness=witness), 1)
+    gateway = Gateway(settings(0, INGRESSES, counter_reconciliation=witness), 1)
     gateway.handle(0.0, i.Started())
     hops = [i.BackendEntry(f"b{n}", "a", "box", 0, i.Availability.ACTIVE, 1.0, None) for n in range(3)]
     gateway.handle(0.0, i.BackendsListed(i.ListKind.SAVED, tuple(hops)))
@@ -362,9 +362,11 @@
     for n in range(20):
         now, began = 10.0 + 0.1 * n, time.process_time()
         for action in gateway.handle(now, i.TimerFired(0)):
-            if isinstance(action, i.UseNoted):
+            if isinstance(action, i.UseReported):
                 a = action
-                ledger.record_use(a.key, a.size, a.place, a.count, a.level, a.fullness, now)
+                ledger.record_use(
+                    a.tenant_key, a.ring_size, a.ring_index, a.count, a.level, a.total_level, now
+                )
         ledger.due_calls(now, 25, 0.3)
         worst = max(worst, time.process_time() - began)
     return resident() - before, worst, len(ledger.tenants)
--- a/lab/counted.py
+++ b/lab/counted.py
@@ -116,7 +116,7 @@
     def carry(self, number: int, actions: list[i.Action]) -> None:
         """Carries out what a gateway decides, and judges it."""
         for action in actions:
-            if isinstance(action, i.Count):
+            if isinstance(action, i.AddToCounter):
                 self.count(number, action)
             elif isinstance(action, i.Send):
                 self.judge_sent(action)
@@ -152,7 +152,7 @@
             self.silent_at[number] = self.now + self.random.expovariate(self.silences)
         return self.silences > 0 and self.now >= self.silent_at[number]
 
-    def count(self, number: int, call: i.Count) -> None:
+    def count(self, number: int, call: i.AddToCounter) -> None:
         """A call has its turn at the counter, whether or not anybody still waits for it."""
         self.figures["calls"] += 1
         begin = max(self.now, self.free_at)
@@ -171,7 +171,7 @@
         self.figures[f"calls.{outcome.value}"] += 1
         key = (number, call.name)
         comes = self.answered_at[key] = max(self.answered_at.get(key, 0.0), self.now + took)
-        self.post(comes - self.now, number, i.CountAnswered(call.name, outcome, total, took))
+        self.post(comes - self.now, number, i.CounterAnswered(call.name, outcome, total, took))
 
     def report(self) -> str:
         """One line of what was decided."""
@@ -185,7 +185,12 @@
         )
 
 
-COUNTING: dict[str, Any] = {"may_tell_peers": False, "may_count": True, "count_limit": LIMIT, "plans": PLANS}
+COUNTING: dict[str, Any] = {
+    "may_message_peers": False,
+    "may_use_counter": True,
+    "count_limit": LIMIT,
+    "plans": PLANS,
+}
 
 
 def customers(chance: random.Random, gateways: int, tries: float) -> list[Customer]:
--- a/lab/tenants.py
+++ b/lab/tenants.py
@@ -121,14 +121,14 @@
 
     def _post_arrival(self, tenant: Tenant) -> None:
         at = self.now + self.arrivals.expovariate(tenant.rate(self.now))
-        self.push(at, CLIENTS, i.RequestGone(tenant.name))
+        self.push(at, CLIENTS, i.RequestCancelled(tenant.name))
 
     def step(self, number: int, event: i.Event | None) -> None:
         """An arrival of a tenant's, or a gateway's own event."""
         if number != CLIENTS:
             super().step(number, event)
             return
-        assert isinstance(event, i.RequestGone)
+        assert isinstance(event, i.RequestCancelled)
         name, _, tries = event.request.partition("/")
         tenant = self.tenants[name]
         if not tries:
@@ -162,7 +162,7 @@
         self.carry(number, gateway.handle(self.now, i.Started()))
         self.tell_list(number, i.ListKind.SAVED)
 
-    def deliver(self, sender: int, action: i.TellPeer) -> None:
+    def deliver(self, sender: int, action: i.SendPeerMessage) -> None:
         """A message, lost now and then on its way or past the receiver's intake."""
         assert action.peer is not None
         second = (action.peer, int(self.now))
@@ -193,7 +193,7 @@
         if action.reason == "quota":
             self._judge(tenant, tenant.used(self.now), sent=False)
         if tries < RETRIES:
-            self.push(self.now + BACKOFF_SECONDS, CLIENTS, i.RequestGone(f"{tenant.name}/{tries + 1}"))
+            self.push(self.now + BACKOFF_SECONDS, CLIENTS, i.RequestCancelled(f"{tenant.name}/{tries + 1}"))
 
     def _judge(self, tenant: Tenant, used: float, sent: bool) -> None:
         outcome, plan = self.outcome, tenant.plan
--- a/lab/vast.py
+++ b/lab/vast.py
@@ -19,8 +19,8 @@
 from hoistfold.brain import Gateway
 from lab.report import Report
 
-VIEW = i.RequestClass("view", 1.2, 4.5, 1.0, 0.0, i.Effect.SAFE, i.Scope.ALL, 15.0, False, 0.0)
-CHANGE = i.RequestClass("change", 3.0, 9.0, 5.0, 0.2, i.Effect.UNSAFE, i.Scope.ALL, 15.0, False, 0.0)
+VIEW = i.RequestClass("view", 1.2, 4.5, 1.0, 0.0, i.Effect.SAFE, i.DedupScope.ALL, 15.0, False, 0.0)
+CHANGE = i.RequestClass("change", 3.0, 9.0, 5.0, 0.2, i.Effect.UNSAFE, i.DedupScope.ALL, 15.0, False, 0.0)
 PLAN = i.Plan("full", 7.5, 16.0, 0, 1.8, 0.3, 0.0, 0.0, 0.0, 0.0)
 WORK = {"view": 0.15, "change": 0.37}  # seconds of a core
 CORES = 2
@@ -35,7 +35,7 @@
         "number": number, "gateways": gateways, "zone": ROOMS[number % 3], "tick": 0.001,
         "classes": (VIEW, CHANGE), "plans": (PLAN,), "pushed_discovery": True,
         "size_hint": i.SizeHint.NOMINAL, "feedback": i.Feedback.NONE, "report_fields": (),
-        "may_cancel": True, "may_probe": True, "may_tell_peers": True, "second_copies": True,
+        "may_cancel": True, "may_probe": True, "may_message_peers": True, "second_copies": True,
         "retry_after": True, "max_attempts": 5, "max_retry_after": 0.5, "dial_timeout": 0.25,
         "max_units": 2.0, "units_settle": False, "peer_intake": 100.0, "ask_within": 10.0,
         "cold_from": 0.15, "cold_time": 17.0, "drain_grace": 0.5, "fall_multiple": 4.0, "fall_window": 3.0,
@@ -161,7 +161,7 @@
         for action in actions:
             if isinstance(action, i.Send):
                 self.send(number, action)
-            elif isinstance(action, i.TellPeer) and action.peer is not None:
+            elif isinstance(action, i.SendPeerMessage) and action.peer is not None:
                 self.counts["messages"] += 1
                 self.counts["bytes"] += len(action.content)
                 self.counts["longest"] = max(self.counts["longest"], len(action.content))
@@ -176,7 +176,7 @@
     def refuse(self, number: int, action: i.Refuse) -> None:
         """A request was refused; here clients do not come again."""
 
-    def deliver(self, sender: int, action: i.TellPeer) -> None:
+    def deliver(self, sender: int, action: i.SendPeerMessage) -> None:
         """A message to one gateway, which takes in so many in a second and loses the rest."""
         assert action.peer is not None
         second, taken = self.taken.get(action.peer, (0, 0))
--- a/standflow/config/operators.py
+++ b/standflow/config/operators.py
@@ -133,7 +133,9 @@
         store=_store(block.block("store"), folder),
         fleet=None if fleet is None else FleetOptions(fleet.value("name"), seeds),
         peers=(NO_ADDRESS,) * config.settings.gateways if seeds else config.peers,
-        settings=replace(config.settings, witness=reconciliation is not None, membership=fleet is not None),
+        settings=replace(
+            config.settings, counter_reconciliation=reconciliation is not None, membership=fleet is not None
+        ),
         max_unread_bytes=limits.value("unread") if limits is not None else config.max_unread_bytes,
     )
 
--- a/standflow/config/platform.py
+++ b/standflow/config/platform.py
@@ -103,10 +103,10 @@
     memory = _number(limits, "memory_mb", "limits.memory_mb", 16, 1 << 20, DEFAULT_MEMORY_MB)
     peer_listen = _address(raw, "peer_listen", optional=True)
     peers = tuple(_peers(raw))
-    if settings.may_tell_peers and peer_listen is not None and len(peers) != settings.gateways:
+    if settings.may_message_peers and peer_listen is not None and len(peers) != settings.gateways:
         raise ConfigError(f"peers: {len(peers)} addresses for {settings.gateways} ingresses")
     counter = _address(raw, "counter", optional=True)
-    settings = replace(settings, may_count=settings.may_count and counter is not None)
+    settings = replace(settings, may_use_counter=settings.may_use_counter and counter is not None)
     return Config(
         name=_text(raw, "name"),
         listen=_required_address(raw, "listen"),
--- a/standflow/counter/reconciliation.py
+++ b/standflow/counter/reconciliation.py
@@ -52,7 +52,7 @@
     def record_use(
         self, key: bytes, ring_size: int, ring_index: int, count: int, level: float, utilization: float
     ) -> None:
-        """Records this ingress's own use; see hoistfold.interface.UseNoted."""
+        """Records this ingress's own use; see hoistfold.interface.UseReported."""
         self.ledger.record_use(key, ring_size, ring_index, count, level, utilization, self._unix_now())
 
     def close(self) -> None:
--- a/standflow/driver.py
+++ b/standflow/driver.py
@@ -32,7 +32,7 @@
 PHASES = {
     Phase.SERVING: i.Availability.ACTIVE,
     Phase.DRAINING: i.Availability.DRAINING,
-    Phase.GONE: i.Availability.GONE,
+    Phase.GONE: i.Availability.REMOVED,
 }
 
 
@@ -76,15 +76,20 @@
             i.Refuse: self._refuse,
             i.Fail: lambda action: self.exchange.fail(action.request),
             i.SetTimer: self._set_timer,
-            i.TellPeer: lambda action: self.send_to_peer(action.peer, action.content),
+            i.SendPeerMessage: lambda action: self.send_to_peer(action.peer, action.content),
             i.Probe: self._probe,
             i.CloseIdle: lambda action: self.close_idle(action.backend),
-            i.Count: lambda action: self.count(action.name, action.amount, action.lifetime),
+            i.AddToCounter: lambda action: self.count(action.name, action.amount, action.lifetime),
             i.FetchList: lambda action: self.fetch_routes(),
             i.Subscribe: lambda action: None,  # the watch runs from the start
             i.Log: lambda action: self.log(f"module: {action.text}"),
-            i.UseNoted: lambda action: self.report_use(
-                action.key, action.size, action.place, action.count, action.level, action.fullness
+            i.UseReported: lambda action: self.report_use(
+                action.tenant_key,
+                action.ring_size,
+                action.ring_index,
+                action.count,
+                action.level,
+                action.total_level,
             ),
         }
 
@@ -120,8 +125,8 @@
             if transaction is not None:
                 self.exchange.abandon(transaction, AbandonReason.FAULT)
                 # The module drops what it still holds of the request.
-                if not isinstance(event, i.RequestGone):
-                    self.events.append((i.RequestGone(transaction.name), None))
+                if not isinstance(event, i.RequestCancelled):
+                    self.events.append((i.RequestCancelled(transaction.name), None))
             return
         for action in actions:
             try:
@@ -138,7 +143,7 @@
             request=transaction.name,
             class_name=request.class_name,
             plan=request.plan,
-            customer=request.tenant,
+            tenant=request.tenant,
             time_left=transaction.deadline - self.loop.now(),
             units=request.units,
             ring_size=request.ring_size,
@@ -147,8 +152,8 @@
         self.dispatch(event, transaction)
 
     def transaction_gone(self, transaction: Transaction) -> None:
-        """Passes RequestGone."""
-        self.dispatch(i.RequestGone(transaction.name))
+        """Passes RequestCancelled."""
+        self.dispatch(i.RequestCancelled(transaction.name))
 
     def stream_started(self, branch: Branch, latency: float) -> None:
         """Passes StreamStarted."""
@@ -187,17 +192,17 @@
         return i.BackendEntry(route.hop, route.zone, route.kind, route.cell, phase, route.size, started)
 
     def reconfigure(self, settings: i.Settings) -> None:
-        """Passes Retuned."""
+        """Passes SettingsChanged."""
         self.settings = settings
-        self.dispatch(i.Retuned(settings))
+        self.dispatch(i.SettingsChanged(settings))
 
     def use_observed(self, key: bytes, ring_index: int, count: int, level: float) -> None:
-        """Passes UseWitnessed."""
-        self.dispatch(i.UseWitnessed(key, ring_index, count, level))
+        """Passes UseObserved."""
+        self.dispatch(i.UseObserved(key, ring_index, count, level))
 
     def membership_changed(self, seen: Snapshot) -> None:
-        """Passes FleetSeen."""
-        event = i.FleetSeen(
+        """Passes MembershipChanged."""
+        event = i.MembershipChanged(
             seen.alive, seen.unreachable, seen.has_quorum, seen.slow_start_members, seen.returned
         )
         self.dispatch(event)
@@ -303,8 +308,8 @@
         self.probe(action.backend, ended)
 
     def count_answered(self, name: int, outcome: Outcome, total: float, latency: float) -> None:
-        """Passes CountAnswered."""
-        self.dispatch(i.CountAnswered(name, OUTCOMES[outcome], total, latency))
+        """Passes CounterAnswered."""
+        self.dispatch(i.CounterAnswered(name, OUTCOMES[outcome], total, latency))
 
     def _no_counter(self, name: int, amount: float, lifetime: float) -> None:
         """No counter client is attached: the call fails without being made."""
--- a/tests/test_coordinators.py
+++ b/tests/test_coordinators.py
@@ -178,7 +178,7 @@
     gateway.coordination.budget.take(ring.now, gateway.coordination.budget.tokens)
     actions = gateway.handle(ring.now, request("b", ring_size=100, ring_first=250))
     assert sends(actions)
-    assert not of(actions, i.TellPeer)
+    assert not of(actions, i.SendPeerMessage)
     assert key_of("basic c1") in gateway.coordination.unreported[coordinator]
     ring.now += 10.0  # the budget is back: the next ask tells of both
     assert ring.ask(member, "c")
@@ -198,7 +198,7 @@
     before = ring.bytes
     assert ring.ask(member, "far")
     assert ring.bytes == before
-    assert ring.ask(member, "unknown", customer="c2")
+    assert ring.ask(member, "unknown", tenant="c2")
     assert ring.bytes > before
 
 
@@ -238,7 +238,7 @@
     gateway.handle(ring.now, i.BackendsListed(i.ListKind.FULL, ()))
     actions = gateway.handle(ring.now, request("r", ring_size=100, ring_first=250))
     assert of(actions, i.Refuse)
-    assert not of(actions, i.TellPeer)
+    assert not of(actions, i.SendPeerMessage)
 
 
 def test_a_silent_primary_leaves_the_secondary_only_its_part_of_a_ceiling() -> None:
--- a/tests/test_counted.py
+++ b/tests/test_counted.py
@@ -74,7 +74,7 @@
     world.ask(0, "before")
     world.held = []
     assert not sends(world.come(0, "a"))
-    world.live[0].handle(world.now, i.RequestGone("a"))
+    world.live[0].handle(world.now, i.RequestCancelled("a"))
     assert not sends(world.release())
     assert spent(world, 30, "b") == BASIC.burst - 1  # and its units are given back
 
@@ -173,7 +173,7 @@
             assert bool(again) == bool(number)
             out[number] = again
     assert sum(bool(sends(world.come(n, f"b{n}", plan="limited"))) for n in range(40)) == 1
-    world.live[1].handle(world.now, i.RequestGone("a1"))  # its attempt is out all the same
+    world.live[1].handle(world.now, i.RequestCancelled("a1"))  # its attempt is out all the same
     assert not sends(world.come(7, "c", plan="limited"))
     attempt = ended(out[1][0], i.Outcome.CANCELLED, 1)
     world.pass_on(1, world.live[1].handle(world.now, replace(attempt, finished=True)))
@@ -191,7 +191,11 @@
 
 
 def test_with_peers_or_without_a_counter_none_is_called() -> None:
-    for changes in ({"may_tell_peers": True}, {"may_count": False}, {"witness": True}):
+    for changes in (
+        {"may_message_peers": True},
+        {"may_use_counter": False},
+        {"counter_reconciliation": True},
+    ):
         world = Counting(3, **changes)
         spent(world, 9)
         assert not world.calls
@@ -231,8 +235,8 @@
         nonlocal now
         while made:
             call, now = made.pop(0), now + 0.1
-            assert isinstance(call, i.Count)
-            stores.answered(now, i.CountAnswered(call.name, i.Outcome.OK, 5.0, latency))
+            assert isinstance(call, i.AddToCounter)
+            stores.answered(now, i.CounterAnswered(call.name, i.Outcome.OK, 5.0, latency))
 
     assert [asks(BASIC, 20), asks(dear, 20)] == [20, 20]
     stores.budget.share = 0.5
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -69,7 +69,7 @@
     scripted.at.exchange.open(request, scripted.at.loop.now(), finals.append)
     assert finals == [final]
     assert "ZeroDivisionError" in scripted.at.log[0]
-    assert scripted.events[-1] == i.RequestGone("1")
+    assert scripted.events[-1] == i.RequestCancelled("1")
     scripted.fault = None
     scripted.answers[i.RequestArrived] = [i.Fail("2")]
     scripted.at.exchange.open(request, scripted.at.loop.now(), finals.append)
@@ -91,8 +91,8 @@
 def test_actions_are_carried_out_and_the_events_they_cause_are_queued() -> None:
     scripted = ScriptedDriver()
     actions: list[i.Action] = [
-        i.Probe("s-1"), i.Count(5, 1.0, 1.0), i.CloseIdle("s-1"), i.TellPeer(None, b"x"), i.FetchList(),
-        i.Log("text"), i.SetTimer(0.001, 9), i.Send("unknown", "s-1", None), i.Subscribe(True),
+        i.Probe("s-1"), i.AddToCounter(5, 1.0, 1.0), i.CloseIdle("s-1"), i.SendPeerMessage(None, b"x"),
+        i.FetchList(), i.Log("text"), i.SetTimer(0.001, 9), i.Send("unknown", "s-1", None), i.Subscribe(True),
     ]  # fmt: skip
     scripted.answers[i.Started] = actions
     scripted.driver.start(None)
@@ -100,7 +100,7 @@
         i.Started(),
         i.ProbeEnded("s-1", i.Outcome.OK, scripted.events[1].latency, ()),  # type: ignore[union-attr]
     ]
-    assert scripted.events[2] == i.CountAnswered(5, i.Outcome.CONNECT_FAILED, 0.0, 0.0)
+    assert scripted.events[2] == i.CounterAnswered(5, i.Outcome.CONNECT_FAILED, 0.0, 0.0)
     assert scripted.closed_idle == ["s-1"]
     assert scripted.sent == [(None, b"x"), "fetch"]
     run_until(scripted.at.loop, lambda: i.TimerFired(9) in scripted.events)
--- a/tests/test_fleet_quotas.py
+++ b/tests/test_fleet_quotas.py
@@ -32,13 +32,13 @@
         self.members = Members(size, seed, loss=loss) if membership else None
         self.chance, self.loss = random.Random(9), loss
         self.blocked: Callable[[int, int], bool] = lambda sender, to: False
-        self.told: dict[int, i.FleetSeen] = {}
+        self.told: dict[int, i.MembershipChanged] = {}
         self.tries: list[Try] = []
         super().__init__(size, peer_intake=100.0, membership=membership, **changes)
         self.now = 1e6
 
     def deliver(self, sender: int, actions: list[i.Action]) -> None:
-        for action in of(actions, i.TellPeer):
+        for action in of(actions, i.SendPeerMessage):
             to = action.peer
             if to in self.live and not self.blocked(sender, to) and self.chance.random() >= self.loss:
                 self.deliver(to, self.live[to].handle(self.now, i.PeerMessage(sender, action.content)))
@@ -58,7 +58,7 @@
             self._pass(at)
             number = self.chance.choices(range(self.size), weights)[0]
             if number in self.live:
-                ran = self.ask(number, f"r{len(self.tries)}", customer=tenant, ring_size=self.size)
+                ran = self.ask(number, f"r{len(self.tries)}", tenant=tenant, ring_size=self.size)
                 self.tries.append(Try(at, tenant, 1.0, ran))
         self._pass(self.now + 0.0)
 
@@ -73,7 +73,7 @@
             self.members.run(self.now - self.members.now)
             for number, membership in self.members.live.items():
                 seen = membership.take_snapshot()
-                event = i.FleetSeen(
+                event = i.MembershipChanged(
                     seen.alive, seen.unreachable, seen.has_quorum, seen.slow_start_members, seen.returned
                 )
                 known = membership.joined and not membership.waiting  # as in standflow/fleet/member.py
@@ -169,7 +169,7 @@
     for _ in range(100):
         ring._pass(ring.now + 0.1)
         for number in (3, 4):
-            ran = ring.ask(number, f"r{len(ring.tries)}", customer="one", ring_size=SIZE)
+            ran = ring.ask(number, f"r{len(ring.tries)}", tenant="one", ring_size=SIZE)
             ring.tries.append(Try(ring.now, "one", 1.0, ran))
     return ring.verdict().use * (BURST + 10.0 * RATE)
 
@@ -202,7 +202,7 @@
             handover.absorb(ring.live[0], told)
         ring.live[1].handle(ring.now, i.TimerFired(0))
         ring.deliver(1, ring.live[1].handle(ring.now, i.TimerFired(0)))
-        ran = sum(ring.ask(0, f"{took_over}{n}", customer="one", ring_size=SIZE) for n in range(8))
+        ran = sum(ring.ask(0, f"{took_over}{n}", tenant="one", ring_size=SIZE) for n in range(8))
         assert ran == (8 if took_over else 1)
 
 
@@ -217,7 +217,7 @@
     ring._pass(ring.now + 0.5)
     ring.lose_all(6.0)
     ring._pass(ring.now + 1.3)
-    assert sum(ring.ask(0, f"a{n}", customer="one", ring_size=SIZE) for n in range(8)) == 8
+    assert sum(ring.ask(0, f"a{n}", tenant="one", ring_size=SIZE) for n in range(8)) == 8
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -302,7 +302,7 @@
         for customer in served:
             for number in (4, 5):
                 name = f"{customer}-{n}-{number}"
-                served[customer] += ring.ask(number, name, customer=customer, ring_size=ring.size)
+                served[customer] += ring.ask(number, name, tenant=customer, ring_size=ring.size)
         ring._pass(ring.now + 0.03)
     assert served["heavy0"] == 0
     assert served["new"] >= 2  # of an unused quota each may take what fits beside as much from all
@@ -359,7 +359,7 @@
     for n in range(150):
         ring._pass(ring.now + 0.1)
         for number in (3, 4):
-            if ring.ask(number, f"r{n}-{number}", customer="heavy0", ring_size=SIZE):
+            if ring.ask(number, f"r{n}-{number}", tenant="heavy0", ring_size=SIZE):
                 served_at.append(ring.now - noticed)
     full_window_seconds = BURST / RATE
     assert served_at
@@ -370,13 +370,13 @@
     # The level was raised with the smaller part, and not lowered again with the larger one.
     ring = Ring(max_units=1.0)
     ring._pass(ring.now + 3.0)
-    assert sum(ring.ask(3, f"a{n}", customer="one", ring_size=SIZE) for n in range(6)) == 6
+    assert sum(ring.ask(3, f"a{n}", tenant="one", ring_size=SIZE) for n in range(6)) == 6
     ring.cut(3, 4)
     ring._pass(ring.now + 0.6)
-    assert not ring.ask(3, "in the cut", customer="one", ring_size=SIZE)
+    assert not ring.ask(3, "in the cut", tenant="one", ring_size=SIZE)
     ring.blocked = lambda sender, to: False
     ring._pass(ring.now + 1.0)
-    assert sum(ring.ask(3, f"b{n}", customer="one", ring_size=SIZE) for n in range(5)) == 5
+    assert sum(ring.ask(3, f"b{n}", tenant="one", ring_size=SIZE) for n in range(5)) == 5
 
 
 @pytest.mark.parametrize(
@@ -405,9 +405,9 @@
     while ring.now < 1e6 + 20.0:
         ring._pass(ring.now + 0.1)
         for number in cut_off:
-            ran = ring.ask(number, f"r{len(ring.tries)}", customer="one", ring_size=size)
+            ran = ring.ask(number, f"r{len(ring.tries)}", tenant="one", ring_size=size)
             ring.tries.append(Try(ring.now, "one", 1.0, ran))
-            missing.add(len(ring.told[number].missing))
+            missing.add(len(ring.told[number].unreachable))
     assert missing & set(range(1, size - len(cut_off)))  # not all deaths were known at one moment
     assert size - len(cut_off) in missing
     allowance = BURST + 10.0 * RATE
@@ -432,9 +432,9 @@
     ring.play(3.0, {})
     ring.blocked = lambda sender, to: {sender, to} in ({0, 4}, {0, 3})
     ring._pass(ring.now + 8.0)
-    assert sum(ring.ask(4, f"a{n}", customer="one", ring_size=SIZE) for n in range(12)) >= 8
+    assert sum(ring.ask(4, f"a{n}", tenant="one", ring_size=SIZE) for n in range(12)) >= 8
     ring._pass(ring.now + 1.0)
-    assert sum(ring.ask(0, f"b{n}", customer="one", ring_size=SIZE) for n in range(12)) <= 3
+    assert sum(ring.ask(0, f"b{n}", tenant="one", ring_size=SIZE) for n in range(12)) <= 3
     assert ring.members is not None
     assert all(not membership.dead_ids() for membership in ring.members.live.values())
 
@@ -444,7 +444,7 @@
     ring = Ring()
     ring.chance.seed(seed)
     ring._pass(ring.now + 6.0)
-    full = [ring.ask(0, f"f{n}", customer="one", ring_size=SIZE) for n in range(12)]
+    full = [ring.ask(0, f"f{n}", tenant="one", ring_size=SIZE) for n in range(12)]
     assert sum(full) >= 8
     ring.epochs(3)
     ring.kill(1)
@@ -454,14 +454,14 @@
     ring.told.pop(1, None)
     got = 0
     for n in range(20):  # it asks for more than it may have, at each moment
-        got += sum(ring.ask(1, f"g{n}-{k}", customer="one", ring_size=SIZE) for k in range(4))
+        got += sum(ring.ask(1, f"g{n}-{k}", tenant="one", ring_size=SIZE) for k in range(4))
         ring._pass(ring.now + 0.1)
     assert got <= 5  # the allowance of one large request; the window is full, and drains by four
 
 
-def gone(*missing: int, size: int = 10) -> i.FleetSeen:
+def gone(*missing: int, size: int = 10) -> i.MembershipChanged:
     present = frozenset(range(size)) - frozenset(missing)
-    return i.FleetSeen(present, frozenset(missing), True, present, frozenset())
+    return i.MembershipChanged(present, frozenset(missing), True, present, frozenset())
 
 
 def test_cold_backends_are_divided_among_those_that_are_there() -> None:
--- a/tests/test_modes.py
+++ b/tests/test_modes.py
@@ -65,13 +65,13 @@
 @pytest.mark.parametrize("mode", list(Mode))
 def test_the_use_of_no_tenant_exceeds_the_bound(mode: Mode, members: int, loss: float) -> None:
     ring = mode in (Mode.BOTH, Mode.RING)
-    fleet = Witnessed(members, ring=ring, may_tell_peers=ring, max_units=1.0)
+    fleet = Witnessed(members, ring=ring, may_message_peers=ring, max_units=1.0)
     fleet.reads = mode in (Mode.BOTH, Mode.COUNTER)
     chance, tries = random.Random(members), list[Try]()
     carry = fleet.deliver
 
     def deliver(sender: int, actions: list[i.Action]) -> None:
-        carry(sender, [a for a in actions if not isinstance(a, i.TellPeer) or chance.random() >= loss])
+        carry(sender, [a for a in actions if not isinstance(a, i.SendPeerMessage) or chance.random() >= loss])
 
     fleet.deliver = deliver  # type: ignore[method-assign]
     demand = 4 * BASIC.rate
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -17,7 +17,7 @@
 def sent_until_refused(gateway: Gateway, class_name: str) -> int:
     """How many requests of a class are out when the first is refused, each of its own customer."""
     count = 0
-    while sends(gateway.handle(1.0, request(f"r{count}", class_name=class_name, customer=f"c{count}"))):
+    while sends(gateway.handle(1.0, request(f"r{count}", class_name=class_name, tenant=f"c{count}"))):
         count += 1
         assert count < 1000
     return count
@@ -47,11 +47,11 @@
     for _ in range(50):
         gateway.priority.observe(1.0, True)
     for n in range(int(PAYING.burst)):  # one customer uses all of its quota
-        first = sends(gateway.handle(0.9, request(f"q{n}", class_name="cheap", customer="greedy")))
+        first = sends(gateway.handle(0.9, request(f"q{n}", class_name="cheap", tenant="greedy")))
         gateway.handle(0.9, ended(first[0], i.Outcome.OK))
     assert sent_until_refused(gateway, "cheap") > 0
     for n in range(20):  # nothing more of it is sent while cheap work inside quotas is refused
-        assert not sends(gateway.handle(1.0, request(f"b{n}", class_name="cheap", customer="greedy")))
+        assert not sends(gateway.handle(1.0, request(f"b{n}", class_name="cheap", tenant="greedy")))
 
 
 def test_the_reserve_grows_with_refusals_of_the_best_class_alone() -> None:
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -51,7 +51,7 @@
     def check(self, action: i.Action) -> None:
         if isinstance(action, i.SetTimer):
             self.later(action.delay, i.TimerFired(action.handle))
-        elif isinstance(action, i.TellPeer):
+        elif isinstance(action, i.SendPeerMessage):
             assert len(action.content) <= 256
             self.told.append(action.content)
         elif isinstance(action, i.Send):
@@ -86,7 +86,7 @@
             plan = self.chance.choice(["basic", "capped", "open"])
             customer = f"c{self.chance.randrange(3)}"
             self.handle(
-                request(name, class_name=kind, plan=plan, customer=customer, time_left=left, ring_size=size)
+                request(name, class_name=kind, plan=plan, tenant=customer, time_left=left, ring_size=size)
             )
         elif what == "drain":
             name = f"b{self.chance.randrange(6)}"
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -128,13 +128,13 @@
 def test_the_module_continues_open_requests_of_a_class_that_was_removed() -> None:
     gateway = started(max_attempts=5)
     first = sends(gateway.handle(1.0, request("r1")))[0]
-    gateway.handle(1.0, i.Retuned(settings(classes=kinds("new"), max_attempts=1)))
+    gateway.handle(1.0, i.SettingsChanged(settings(classes=kinds("new"), max_attempts=1)))
     again = gateway.handle(1.1, ended(first, i.Outcome.CONNECT_FAILED))
     assert not sends(again)  # five were allowed, now only one
     assert any(isinstance(action, i.Refuse) for action in again)
     assert sends(gateway.handle(1.2, request("r2", class_name="new")))
     assert set(gateway.base) == {"read", "new"} | set(gateway.base) & {"write"}
-    gateway.handle(1.3, i.Retuned(settings(classes=kinds("new"))))
+    gateway.handle(1.3, i.SettingsChanged(settings(classes=kinds("new"))))
     assert set(gateway.base) == {"new"}
 
 
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -73,7 +73,7 @@
     pair.epochs(4)
     admitted(pair, 0, 4, "a")
     actions = pair.live[0].handle(pair.now + 0.1, i.TimerFired(0))
-    messages = [action.content for action in actions if isinstance(action, i.TellPeer)]
+    messages = [action.content for action in actions if isinstance(action, i.SendPeerMessage)]
     assert any(len(message) > 20 for message in messages)
     receiver = pair.live[1]
     for message in messages * 3:
@@ -98,7 +98,7 @@
 def test_a_calm_customer_is_let_in_wherever_it_comes() -> None:
     ring = LongRing()
     places = range(0, 100, 7)
-    assert all(ring.ask((250 + place) % 300, f"r{place}", customer=f"c{place}") for place in places)
+    assert all(ring.ask((250 + place) % 300, f"r{place}", tenant=f"c{place}") for place in places)
 
 
 def test_a_long_ring_skips_a_keeper_that_answers_nothing() -> None:
@@ -122,7 +122,7 @@
 
 def test_messages_of_any_content_do_no_harm_in_a_long_ring() -> None:
     ring = LongRing(30, peer_intake=5.0)
-    asked = of(ring.live[3].handle(1.0, request("r", ring_size=20, ring_first=0)), i.TellPeer)
+    asked = of(ring.live[3].handle(1.0, request("r", ring_size=20, ring_first=0)), i.SendPeerMessage)
     chance = random.Random(5)
     for _ in range(3000):
         body = bytes(chance.randrange(256) for _ in range(len(asked[0].content) - 4))
@@ -133,7 +133,7 @@
 def test_unused_entries_are_forgotten() -> None:
     gateway = started()
     for n in range(500):
-        for send in sends(gateway.handle(1.0, request(f"r{n}", customer=f"once{n}"))):
+        for send in sends(gateway.handle(1.0, request(f"r{n}", tenant=f"once{n}"))):
             gateway.handle(1.0, ended(send, i.Outcome.OK))
     assert len(gateway.quotas) > 0
     gateway.handle(120.0, i.TimerFired(0))
@@ -155,12 +155,12 @@
 
 def test_where_peers_may_not_be_told_nothing_is_sent_and_entries_are_still_forgotten() -> None:
     """A large fleet asked its keepers although the settings forbid messages."""
-    gateway = started(gateways=300, may_tell_peers=False)
+    gateway = started(gateways=300, may_message_peers=False)
     actions = gateway.handle(1.0, request("r", ring_size=100, ring_first=0))
     assert len(sends(actions)) == 1  # within the allowance
     actions += gateway.handle(2.0, i.TimerFired(0))
     gateway.handle(2.0, ended(sends(actions)[0], i.Outcome.OK))
-    assert not of(actions + gateway.handle(100.0, i.TimerFired(0)), i.TellPeer)
+    assert not of(actions + gateway.handle(100.0, i.TimerFired(0)), i.SendPeerMessage)
     assert not gateway.quotas
 
 
@@ -182,7 +182,7 @@
     gateway = started(gateways=2)
     for n in range(12_000):
         now = 1.0 + 0.005 * n
-        for send in sends(gateway.handle(now, request(f"r{n}", customer=f"once{n}", ring_size=2))):
+        for send in sends(gateway.handle(now, request(f"r{n}", tenant=f"once{n}", ring_size=2))):
             gateway.handle(now, ended(send, i.Outcome.OK))
         if n % 20 == 0:
             gateway.handle(now, i.TimerFired(0))
@@ -193,9 +193,9 @@
     """Behind fifty customers of little use it was told seconds late that one had used all of its quota."""
     pair = Pair()
     pair.epochs(4)
-    assert all(pair.ask(0, f"l{n}", customer=f"little{n}") for n in range(40))
+    assert all(pair.ask(0, f"l{n}", tenant=f"little{n}") for n in range(40))
     for actions in [
-        pair.live[0].handle(pair.now, request(f"m{n}", customer=f"m{n}", ring_size=2)) for n in range(40)
+        pair.live[0].handle(pair.now, request(f"m{n}", tenant=f"m{n}", ring_size=2)) for n in range(40)
     ]:
         for send in sends(actions):
             pair.live[0].handle(pair.now, ended(send, i.Outcome.OK))
@@ -221,7 +221,7 @@
 
 
 def test_gateways_that_hear_of_nobody_keep_to_the_quota_together() -> None:
-    pair = Pair(3, may_tell_peers=False, max_units=1.0)
+    pair = Pair(3, may_message_peers=False, max_units=1.0)
     total = 0
     for _ in range(200):
         pair.now += 0.1
@@ -258,7 +258,7 @@
 
 def let_in(number: int, many: int, plan: str, **changes: Any) -> int:
     """How many of a customer's requests, all at once, one of three gateways lets in that tell no peers."""
-    gateway = started(now=0.0, gateways=3, number=number, may_tell_peers=False, max_units=1.0, **changes)
+    gateway = started(now=0.0, gateways=3, number=number, may_message_peers=False, max_units=1.0, **changes)
     ask = [request(f"r{n}", plan=plan, ring_size=3, ring_first=1) for n in range(many)]
     return sum(len(sends(gateway.handle(0.0, one))) for one in ask)
 
@@ -280,7 +280,7 @@
     actions = gateway.handle(1.0, request("r1", ring_size=100, ring_first=0))
     assert gateway.long_ring
     assert not sends(actions)
-    gateway.handle(1.01, i.RequestGone("r1"))
+    gateway.handle(1.01, i.RequestCancelled("r1"))
     later = [gateway.handle(1.5, i.TimerFired(timer.handle)) for timer in of(actions, i.SetTimer)]
     assert not any(map(sends, later))
     assert gateway.requests == {}
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -53,7 +53,7 @@
     assert not of(actions, i.Refuse)
 
 
-@pytest.mark.parametrize("state", [i.Availability.DRAINING, i.Availability.GONE])
+@pytest.mark.parametrize("state", [i.Availability.DRAINING, i.Availability.REMOVED])
 def test_a_draining_backend_gets_nothing_new(state: i.Availability) -> None:
     gateway = started("b1")
     gateway.handle(0.5, listed(backend("b1", availability=state), kind=i.ListKind.CHANGES))
@@ -68,7 +68,7 @@
     taken = 0
     for n in range(60):
         now = 1.0 + n * 0.05
-        for send in sends(gateway.handle(now, request(f"r{n}", customer=f"c{n}"))):
+        for send in sends(gateway.handle(now, request(f"r{n}", tenant=f"c{n}"))):
             taken += 1
             gateway.handle(now + 0.01, ended(send, i.Outcome.OK, latency=0.125))
     # a third of 2.5 x the capacity of one core over three seconds, at an eighth of a second of work each
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -13,7 +13,7 @@
     got: list[float] = []
     for n in range(200):
         now += 0.05
-        for send in sends(gateway.handle(now, request(f"r{n}", customer=f"c{n}"))):
+        for send in sends(gateway.handle(now, request(f"r{n}", tenant=f"c{n}"))):
             if send.backend == hung:
                 got.append(now)
             else:
@@ -28,7 +28,7 @@
     out = {}
     for gateways in (3, 12):
         gateway = started("b1 b2 b3 b4", gateways=gateways)
-        asked = [gateway.handle(1.0, request(f"r{n}", customer=f"c{n}")) for n in range(100)]
+        asked = [gateway.handle(1.0, request(f"r{n}", tenant=f"c{n}")) for n in range(100)]
         out[gateways] = sum(len(sends(actions)) for actions in asked)
     assert out[12] * 12 <= out[3] * 3 * 2.5  # the room is kept on average, a first burst may pass it
 
@@ -36,7 +36,7 @@
 def test_full_answers_are_not_tried_again_while_pressed() -> None:
     """Flood of retries: a fuller fleet must not be tried harder."""
     gateway = started("b1 b2")
-    first = [gateway.handle(1.0, request(f"r{n}", customer=f"c{n}")) for n in range(40)]
+    first = [gateway.handle(1.0, request(f"r{n}", tenant=f"c{n}")) for n in range(40)]
     attempts = sum(len(sends(actions)) for actions in first)
     answers = 0
     for number, actions in enumerate(first):
@@ -54,8 +54,8 @@
     fresh, late = 0, 0
     gateway.handle(0.5, request("first", time_left=3.0))
     for n in range(40):
-        fresh_try = request(f"f{n}", customer=f"f{n}", time_left=3.0)
-        late_try = request(f"l{n}", customer=f"l{n}", time_left=1.2)
+        fresh_try = request(f"f{n}", tenant=f"f{n}", time_left=3.0)
+        late_try = request(f"l{n}", tenant=f"l{n}", time_left=1.2)
         late += len(sends(gateway.handle(1.0, late_try)))
         fresh += len(sends(gateway.handle(1.0, fresh_try)))
     assert fresh > late
@@ -67,10 +67,10 @@
     taken = 0
     for n in range(300):
         left = 3.0 if n % 15 == 0 else 1.9
-        for send in sends(gateway.handle(1.0 + n, request(f"w{n}", customer=f"w{n}", time_left=left))):
+        for send in sends(gateway.handle(1.0 + n, request(f"w{n}", tenant=f"w{n}", time_left=left))):
             gateway.handle(1.05 + n, ended(send, i.Outcome.OK, latency=0.05))
     for n in range(40):
-        taken += len(sends(gateway.handle(400.0, request(f"r{n}", customer=f"r{n}", time_left=1.9))))
+        taken += len(sends(gateway.handle(400.0, request(f"r{n}", tenant=f"r{n}", time_left=1.9))))
     assert taken >= 7  # most of the room, not the part left to what must come late
 
 
@@ -81,7 +81,7 @@
         gateway = started("b1", gateways=300, number=number)
         gateway.handle(1.0, listed(backend("b1", started=1.0), kind=i.ListKind.CHANGES))
         for n in range(8):
-            asked = request(f"r{n}", customer=f"c{n}")
+            asked = request(f"r{n}", tenant=f"c{n}")
             sent += len(sends(gateway.handle(1.0 + 0.5 * n, asked)))
     # at most the stated multiple of one core's work over four seconds, at an eighth of a second each
     assert 1 <= sent <= 2.5 * 0.45 * 4 / 0.125
@@ -90,7 +90,7 @@
 def test_a_gateway_with_little_traffic_is_not_pressed_by_one_attempt() -> None:
     """A share of the room below one attempt refused most tries on idle backends."""
     gateway = started(" ".join(f"b{n}" for n in range(60)), gateways=300)
-    asked = [gateway.handle(1.0, request(f"r{n}", customer=f"c{n}")) for n in range(3)]
+    asked = [gateway.handle(1.0, request(f"r{n}", tenant=f"c{n}")) for n in range(3)]
     assert all(sends(actions) for actions in asked)
 
 
@@ -112,7 +112,7 @@
         gateway.handle(1.0, listed(*old, *new, kind=i.ListKind.FULL))
         gateway.limit, gateway.busy = 0.0, 100.0  # nothing more fits on the warm ones
         for n in range(30):
-            for send in sends(gateway.handle(2.0 + n / 10, request(f"r{n}", customer=f"c{n}"))):
+            for send in sends(gateway.handle(2.0 + n / 10, request(f"r{n}", tenant=f"c{n}"))):
                 assert send.backend.startswith("c")
                 answered += 1
                 gateway.handle(2.0 + n / 10, ended(send, i.Outcome.OK, latency=0.1))
@@ -134,7 +134,7 @@
     dead, tried, now = {"b1", "b2", "b3", "b4"}, [], 1.0
     for n in range(400):
         now += 0.05
-        actions = gateway.handle(now, request(f"r{n}", customer=f"c{n}"))
+        actions = gateway.handle(now, request(f"r{n}", tenant=f"c{n}"))
         for attempt in range(5):
             for send in sends(actions):
                 outcome = i.Outcome.CONNECT_FAILED if send.backend in dead else i.Outcome.OK
@@ -152,7 +152,7 @@
     gateway, now, late = started("b1 b2 b3 b4 b5 b6", gateways=40), 1.0, 0
     for n in range(600):
         now += 0.05
-        actions, attempt = gateway.handle(now, request(f"r{n}", customer=f"c{n}")), 0
+        actions, attempt = gateway.handle(now, request(f"r{n}", tenant=f"c{n}")), 0
         while some := sends(actions):
             late += now > 12.0
             outcome = i.Outcome.CONNECT_FAILED if now < 3.0 else i.Outcome.OK
@@ -171,18 +171,18 @@
         gateway._learn(gateway.backends["b1"], gateway.classes["read"], full)
     assert gateway.limit == 8.0
     gateway.busy = 0.0
-    got = [sends(gateway.handle(3.0 + n / 100, request(f"r{n}", customer=f"c{n}"))) for n in range(20)]
+    got = [sends(gateway.handle(3.0 + n / 100, request(f"r{n}", tenant=f"c{n}"))) for n in range(20)]
     assert sum(send.backend == "b1" for some in got for send in some) <= 1
 
 
 def test_answers_that_are_lost_do_not_fill_the_room() -> None:
     """Lost answers: work long done was counted as out until its client gave up."""
     gateway = started("b1 b2 b3")
-    lost = [gateway.handle(1.0, request(f"l{n}", customer=f"l{n}")) for n in range(60)]
+    lost = [gateway.handle(1.0, request(f"l{n}", tenant=f"l{n}")) for n in range(60)]
     assert any(of(actions, i.Refuse) for actions in lost)
     for send in [send for actions in lost for send in sends(actions)][::4]:
         gateway.handle(1.1, ended(send, i.Outcome.OK))  # so that no backend is suspected
-    assert sends(gateway.handle(2.0, request("r", customer="later")))
+    assert sends(gateway.handle(2.0, request("r", tenant="later")))
 
 
 def test_long_work_on_idle_backends_does_not_wear_the_limit_down() -> None:
@@ -190,14 +190,14 @@
     gateway = started("b1 b2 b3 b4")
     before = gateway.limit
     for n in range(300):
-        for send in sends(gateway.handle(1.0 + n, request(f"r{n}", customer=f"c{n}"))):
+        for send in sends(gateway.handle(1.0 + n, request(f"r{n}", tenant=f"c{n}"))):
             gateway.handle(1.9 + n, ended(send, i.Outcome.OK, latency=0.9 if n % 3 else 0.1))
     assert gateway.limit >= before
-    burst = [gateway.handle(400.0, request(f"b{n}", customer=f"b{n}")) for n in range(40)]
+    burst = [gateway.handle(400.0, request(f"b{n}", tenant=f"b{n}")) for n in range(40)]
     for send in [send for actions in burst for send in sends(actions)]:
         gateway.handle(402.0, ended(send, i.Outcome.OK, latency=0.9))
     for n in range(40):  # under load slow answers count
-        for send in sends(gateway.handle(403.0 + n / 50, request(f"s{n}", customer=f"s{n}"))):
+        for send in sends(gateway.handle(403.0 + n / 50, request(f"s{n}", tenant=f"s{n}"))):
             gateway.handle(403.0 + n / 50, ended(send, i.Outcome.OK, latency=0.9))
     assert gateway.limit < before
 
@@ -225,7 +225,7 @@
             gateway.handle(1.0, ended(send, i.Outcome.OK))
     beyond = [gateway.handle(1.5, request(f"s{n}", plan="paid")) for n in range(40)]
     assert 0 < sum(len(sends(actions)) for actions in beyond) < 40
-    inside = gateway.handle(1.5, request("r", customer="other"))
+    inside = gateway.handle(1.5, request("r", tenant="other"))
     assert sends(inside)  # a share of the room is left to those within their quotas
 
 
@@ -240,9 +240,7 @@
     ]:
         gateway = started("b1")
         names = [f"r{n}" for n in range(len(outcomes))]
-        out = [
-            sends(gateway.handle(1.0, request(name, class_name="buy", customer=name)))[0] for name in names
-        ]
+        out = [sends(gateway.handle(1.0, request(name, class_name="buy", tenant=name)))[0] for name in names]
         for send, outcome in zip(out, outcomes, strict=True):
             gateway.handle(1.1, ended(send, outcome))
         assert (gateway.backends["b1"].suspect_since is not None) is suspected
@@ -258,7 +256,7 @@
     for start in chosen:
         for n in range(30):
             now = start + 0.1 * n
-            for send in sends(gateway.handle(now, request(f"{start}-{n}", customer=f"{start}-{n}"))):
+            for send in sends(gateway.handle(now, request(f"{start}-{n}", tenant=f"{start}-{n}"))):
                 chosen[start] += send.backend == "b1"
                 gateway.handle(now, ended(send, i.Outcome.OK, latency=0.1))
     assert chosen[1.0] <= 3
@@ -280,7 +278,7 @@
 
     def ask(n: int, outcome: i.Outcome) -> None:
         now, kind = 1.0 + n / 50, "buy" if n % 3 == 0 else "read"
-        for send in sends(gateway.handle(now, request(f"r{n}", customer=f"c{n}", class_name=kind))):
+        for send in sends(gateway.handle(now, request(f"r{n}", tenant=f"c{n}", class_name=kind))):
             if send.backend == "bad":
                 sent.append(kind)
                 gateway.handle(now, ended(send, outcome, latency=0.01))
@@ -308,7 +306,7 @@
         served = [
             send.backend
             for n in range(100)
-            for send in sends(gateway.handle(10.0 + n / 20, request(f"r{n}", customer=f"c{n}")))
+            for send in sends(gateway.handle(10.0 + n / 20, request(f"r{n}", tenant=f"c{n}")))
         ]
         assert "cold" in served
 
@@ -320,7 +318,7 @@
             now = 1.0 + n / rate
             while out and out[0][0] < now - out_for:
                 gateway.handle(now, ended(out.pop(0)[1], i.Outcome.OK, latency=out_for))
-            actions = gateway.handle(now, request(f"r{n}", customer=f"c{n}", plan="basic"))
+            actions = gateway.handle(now, request(f"r{n}", tenant=f"c{n}", plan="basic"))
             out += [(now, send) for send in sends(actions)]
         return gateway.took
 
--- a/tests/test_tries.py
+++ b/tests/test_tries.py
@@ -49,16 +49,16 @@
     gateway = started(gateways=1)
     for n in range(30):  # two of three are first tries
         left = DEADLINE - 0.95 if n % 3 == 2 else CAP
-        for send in sends(gateway.handle(0.01 * n, request(f"w{n}", customer=f"w{n}", time_left=left))):
+        for send in sends(gateway.handle(0.01 * n, request(f"w{n}", tenant=f"w{n}", time_left=left))):
             gateway.handle(0.01 * n, ended(send, i.Outcome.OK))
     # fill the room to a half, which a late try may not take
     now, held = 1.0, 0
     while gateway.busy < 0.5 * gateway.room or held < 5:
-        held += len(sends(gateway.handle(now, request(f"h{held}", customer=f"h{held}", time_left=CAP))))
+        held += len(sends(gateway.handle(now, request(f"h{held}", tenant=f"h{held}", time_left=CAP))))
         now += 0.0001
         assert held < 100
-    last = gateway.handle(now, request("last", customer="last", time_left=DEADLINE - 0.95))
-    first = gateway.handle(now, request("first", customer="first", time_left=CAP))
+    last = gateway.handle(now, request("last", tenant="last", time_left=DEADLINE - 0.95))
+    first = gateway.handle(now, request("first", tenant="first", time_left=CAP))
     assert not sends(last)
     assert sends(first)
 
@@ -68,12 +68,12 @@
     hasty = 1.5 * READ.aim / 8  # the usual latency is an eighth of the aim at first
     gateway = started(gateways=1)
     for n in range(30):  # the hasty tries are the usual ones
-        for send in sends(gateway.handle(0.01 * n, request(f"w{n}", customer=f"w{n}", time_left=hasty))):
+        for send in sends(gateway.handle(0.01 * n, request(f"w{n}", tenant=f"w{n}", time_left=hasty))):
             gateway.handle(0.01 * n, ended(send, i.Outcome.OK, latency=READ.aim / 8))
     now, held = 1.0, 0
     while gateway.busy < 0.5 * gateway.room or held < 5:
-        held += len(sends(gateway.handle(now, request(f"h{held}", customer=f"h{held}", time_left=DEADLINE))))
+        held += len(sends(gateway.handle(now, request(f"h{held}", tenant=f"h{held}", time_left=DEADLINE))))
         now += 0.0001
         assert held < 100
-    assert not sends(gateway.handle(now, request("hasty", customer="hasty", time_left=hasty)))
-    assert sends(gateway.handle(now, request("patient", customer="patient", time_left=DEADLINE)))
+    assert not sends(gateway.handle(now, request("hasty", tenant="hasty", time_left=hasty)))
+    assert sends(gateway.handle(now, request("patient", tenant="patient", time_left=DEADLINE)))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -356,7 +356,7 @@
     assert new.backends["b1"].cold_credit == 0.4
     assert new.avoided() == {"b2"}
     served = [
-        s for n in range(200) for s in sends(old.handle(6.0 + n / 100, request(f"r{n}", customer=f"c{n}")))
+        s for n in range(200) for s in sends(old.handle(6.0 + n / 100, request(f"r{n}", tenant=f"c{n}")))
     ]
     assert served
     assert all(send.backend != "b1" for send in served)
--- a/tests/test_vast.py
+++ b/tests/test_vast.py
@@ -166,7 +166,7 @@
     gateway.handle(0.0, listed(*(backend(f"b{n}") for n in range(3000))))
     served = 0
     for n in range(40):
-        event = request(f"r{n}", class_name="view", plan="full", customer=f"c{n}", ring_size=1)
+        event = request(f"r{n}", class_name="view", plan="full", tenant=f"c{n}", ring_size=1)
         served += len(sends(gateway.handle(1.0 + n / 10, event)))
     assert served >= (40 if gateway.sharers < 100 else 1)  # a share below one attempt still serves
     assert len(of(gateway.handle(9.0, i.TimerFired(0)), i.SetTimer)) == 1  # the epoch goes on
@@ -179,7 +179,7 @@
     for message in (content, sealed(content), sealed(content[: len(content) // 19 * 19])):
         gateway.handle(1.0, i.PeerMessage(sender, message))
     assert len(gateway.quotas) <= 3 * (256 // 19)
-    event = request("r", class_name="view", plan="full", ring_size=1, customer="honest")
+    event = request("r", class_name="view", plan="full", ring_size=1, tenant="honest")
     assert sends(gateway.handle(2.0, event))
     assert VIEW.name in gateway.base
     gateway.handle(60.0, i.TimerFired(0))
--- a/tests/test_witness.py
+++ b/tests/test_witness.py
@@ -15,18 +15,18 @@
     """Gateways with no ring between them, only registers that each writes and the others read."""
 
     def __init__(self, count: int = 2, ring: bool = False, **changes: Any) -> None:
-        self.registers: dict[tuple[bytes, int], i.UseNoted] = {}
+        self.registers: dict[tuple[bytes, int], i.UseReported] = {}
         self.ring, self.reads = ring, True
-        super().__init__(count, witness=True, **changes)
+        super().__init__(count, counter_reconciliation=True, **changes)
 
     def deliver(self, sender: int, actions: list[i.Action]) -> None:
         if self.ring:
             super().deliver(sender, actions)
-        for note in of(actions, i.UseNoted):
-            self.registers[note.key, note.place] = note
+        for note in of(actions, i.UseReported):
+            self.registers[note.tenant_key, note.ring_index] = note
             for (key, place), held in sorted(self.registers.items()):
-                if self.reads and key == note.key and place != note.place:
-                    self.live[sender].handle(self.now, i.UseWitnessed(key, place, held.count, held.level))
+                if self.reads and key == note.tenant_key and place != note.ring_index:
+                    self.live[sender].handle(self.now, i.UseObserved(key, place, held.count, held.level))
 
     def admitted(self, number: int, tries: int) -> int:
         return sum(self.ask(number, f"{self.now} {number} {n}") for n in range(tries))
@@ -62,7 +62,7 @@
     (key, place), held = next(item for item in pair.registers.items() if item[0][1] == 0)
     pair.restart(0)
     assert pair.ask(0, "again")
-    pair.live[0].handle(pair.now, i.UseWitnessed(key, place, held.count, held.level))
+    pair.live[0].handle(pair.now, i.UseObserved(key, place, held.count, held.level))
     quota = pair.live[0].quotas[key]
     assert quota.own + quota.others >= held.level * BASIC.burst
     assert quota.counts[0] == held.count + 4  # in fourths of a unit: this life's use on top
@@ -78,10 +78,10 @@
     quota = next(iter(pair.live[1].quotas.values()))
     before = (dict(quota.counts), quota.others)
     for count in (0, 1, quota.counts[0], quota.counts[0] - 2):
-        pair.live[1].handle(pair.now, i.UseWitnessed(quota.key, 0, count & 0xFFFF, 1.0))
+        pair.live[1].handle(pair.now, i.UseObserved(quota.key, 0, count & 0xFFFF, 1.0))
     assert (dict(quota.counts), quota.others) == before
-    pair.live[1].handle(pair.now, i.UseWitnessed(b"other", 0, 9, 1.0))
-    pair.live[1].handle(pair.now, i.UseWitnessed(quota.key, 7, 9, 1.0))
+    pair.live[1].handle(pair.now, i.UseObserved(b"other", 0, 9, 1.0))
+    pair.live[1].handle(pair.now, i.UseObserved(quota.key, 7, 9, 1.0))
     assert (dict(quota.counts), quota.others) == before
 
 
@@ -103,18 +103,18 @@
     noted: list[i.Action] = []
     pair.ask(0, "a")
     pair.now += pair.live[0].epoch
-    noted += of(pair.live[0].handle(pair.now, i.TimerFired(0)), i.UseNoted)
+    noted += of(pair.live[0].handle(pair.now, i.TimerFired(0)), i.UseReported)
     assert not noted
 
 
 def test_of_many_customers_an_epoch_looks_after_the_fullest_and_forgets_all_in_the_end() -> None:
-    gateway = started(witness=True, gateways=2)
+    gateway = started(counter_reconciliation=True, gateways=2)
     for n in range(4 * MOST):
         units = 4.0 if n == 2 * MOST else 1.0
-        event = request(f"r{n}", customer=f"c{n}", units=units, ring_size=2)
+        event = request(f"r{n}", tenant=f"c{n}", units=units, ring_size=2)
         for send in sends(gateway.handle(0.0, event)):
             gateway.handle(0.0, ended(send, i.Outcome.OK))
-    notes = of(gateway.handle(0.1, i.TimerFired(0)), i.UseNoted)
+    notes = of(gateway.handle(0.1, i.TimerFired(0)), i.UseReported)
     assert len(notes) == MOST
     assert notes[0].level > 0.3 > max(note.level for note in notes[1:])
     gateway.handle(IDLE_FOR + 1, i.TimerFired(0))
@@ -125,11 +125,11 @@
 def test_what_silent_members_may_have_used_since_the_counter_told_is_reserved(
     speaking: tuple[int, ...], fits: int
 ) -> None:
-    gateway = started(witness=True, gateways=3)
+    gateway = started(counter_reconciliation=True, gateways=3)
     gateway.handle(0.0, request("first", ring_size=3))
     quota = next(iter(gateway.quotas.values()))
     now = 10.0
-    gateway.handle(now, i.UseWitnessed(quota.key, 2, 8, 0.2))  # two units of a burst of ten
+    gateway.handle(now, i.UseObserved(quota.key, 2, 8, 0.2))  # two units of a burst of ten
     for sender in speaking:
         gateway.handle(now, i.PeerMessage(sender, sealed(b"")))
     served = 0
--- a/tests/world.py
+++ b/tests/world.py
@@ -10,9 +10,9 @@
 from hoistfold import interface as i
 from hoistfold.brain import Gateway
 
-READ = i.RequestClass("read", 1.0, 3.0, 1.0, 0.0, i.Effect.SAFE, i.Scope.ALL, 5.0, False, 0.0)
-BUY = i.RequestClass("buy", 3.0, 7.0, 5.0, 0.0, i.Effect.UNSAFE, i.Scope.ALL, 5.0, False, 0.0)
-KEYED = i.RequestClass("keyed", 1.0, 3.0, 3.0, 0.0, i.Effect.KEYED, i.Scope.CELL, 2.0, False, 0.0)
+READ = i.RequestClass("read", 1.0, 3.0, 1.0, 0.0, i.Effect.SAFE, i.DedupScope.ALL, 5.0, False, 0.0)
+BUY = i.RequestClass("buy", 3.0, 7.0, 5.0, 0.0, i.Effect.UNSAFE, i.DedupScope.ALL, 5.0, False, 0.0)
+KEYED = i.RequestClass("keyed", 1.0, 3.0, 3.0, 0.0, i.Effect.KEYED, i.DedupScope.CELL, 2.0, False, 0.0)
 BASIC = i.Plan("basic", 2.0, 10.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
 CAPPED = i.Plan("capped", 10.0, 20.0, 0, 1.0, 0.0, 0.5, 20.0, 40.0, 4.0)
 OPEN = i.Plan("open", 2.0, 10.0, 3, 1.0, 0.0, 0.6, 0.0, 0.0, 0.0)
@@ -31,7 +31,7 @@
     report_fields=(),
     may_cancel=True,
     may_probe=True,
-    may_tell_peers=True,
+    may_message_peers=True,
     second_copies=True,
     retry_after=True,
     max_attempts=3,
@@ -120,7 +120,7 @@
 
     def deliver(self, sender: int, actions: list[i.Action]) -> None:
         """Hands the messages among some actions to whom they are for."""
-        for action in of(actions, i.TellPeer):
+        for action in of(actions, i.SendPeerMessage):
             for number in sorted(self.live):
                 if number != sender and action.peer in (None, number):
                     self.live[number].handle(self.now, i.PeerMessage(sender, action.content))
@@ -168,7 +168,7 @@
         waiting = [(sender, action) for action in actions]
         while waiting:
             sender, action = waiting.pop(0)
-            if not isinstance(action, i.TellPeer):
+            if not isinstance(action, i.SendPeerMessage):
                 done.append(action)
             elif action.peer is not None and action.peer not in self.dead:
                 self.bytes += len(action.content)
@@ -198,17 +198,19 @@
     def __init__(self, count: int = 3, **changes: Any) -> None:
         self.now = 1000.0
         self.numbers: dict[int, float] = {}
-        self.held: list[tuple[int, i.Count]] | None = None  # calls that have not come to the counter yet
+        self.held: list[tuple[int, i.AddToCounter]] | None = (
+            None  # calls that have not come to the counter yet
+        )
         self.outcome = i.Outcome.OK
         self.calls = 0
-        changes = {"gateways": count, "may_tell_peers": False, "may_count": True} | changes
+        changes = {"gateways": count, "may_message_peers": False, "may_use_counter": True} | changes
         self.live = [started(seed=n, now=self.now, number=n, **changes) for n in range(count)]
 
     def pass_on(self, number: int, actions: list[i.Action]) -> list[i.Action]:
         """Carries calls out until none is left; returns what the gateway does besides."""
         done: list[i.Action] = []
         for action in actions:
-            if not isinstance(action, i.Count):
+            if not isinstance(action, i.AddToCounter):
                 done.append(action)
             elif self.held is not None:
                 self.held.append((number, action))
@@ -216,13 +218,13 @@
                 done += self.answer(number, action)
         return done
 
-    def answer(self, number: int, call: i.Count) -> list[i.Action]:
+    def answer(self, number: int, call: i.AddToCounter) -> list[i.Action]:
         """One call has its turn at the counter."""
         self.calls += 1
         if self.outcome is i.Outcome.OK:
             self.numbers[call.name] = self.numbers.get(call.name, 0.0) + call.amount
         total = self.numbers.get(call.name, 0.0)
-        answered = i.CountAnswered(call.name, self.outcome, total, 0.002)
+        answered = i.CounterAnswered(call.name, self.outcome, total, 0.002)
         return self.pass_on(number, self.live[number].handle(self.now, answered))
 
     def release(self, at_once: bool = True) -> list[i.Action]:
