--- a/hoistfold/adapter.py
+++ b/hoistfold/adapter.py
@@ -10,7 +10,7 @@
 from typing import Any, TextIO
 
 from hoistfold import interface as i
-from hoistfold.brain import Gateway
+from hoistfold.gateway import Gateway
 
 Fields = dict[str, str]
 
@@ -53,19 +53,19 @@
     return round(value * 1e6)
 
 
-def flag(text: str) -> bool:
+def read_flag(text: str) -> bool:
     """A wire bool."""
     if text not in ("0", "1"):
         raise MalformedError(f"'{text}' is not a bool")
     return text == "1"
 
 
-def report(text: str) -> tuple[float, ...]:
+def read_report(text: str) -> tuple[float, ...]:
     """A load report; empty where there is none."""
     return tuple(float(value) for value in text.split(",")) if text not in ("", "-") else ()
 
 
-def split(line: str) -> tuple[str, Fields]:
+def read_line(line: str) -> tuple[str, Fields]:
     """A line's name and fields; Info and BodyText run to the end of the line."""
     head, mark, tail = line.partition(" Info=")
     name, *parts = head.split(" ")
@@ -189,17 +189,17 @@
         attempt=int(f["Go"]),
         latency=seconds(f["LatencyUs"]),
         outcome=OUTCOMES[int(f["How"])],
-        finished=flag(f["DoneFlag"]),
+        finished=read_flag(f["DoneFlag"]),
         true_units=float(f.get("FinalUnits", 0)),
         used_percent=float(f.get("UsePct", 0)),
-        report=report(f.get("Usage", "")),
+        report=read_report(f.get("Usage", "")),
     )
 
 
 def read_probe(f: Fields) -> i.Event:
     """PROBED."""
     outcome, latency = OUTCOMES[int(f["How"])], seconds(f["LatencyUs"])
-    return i.ProbeEnded(f["Backend"], outcome, latency, report(f.get("Usage", "")))
+    return i.ProbeEnded(f["Backend"], outcome, latency, read_report(f.get("Usage", "")))
 
 
 def read_count(f: Fields) -> i.Event:
@@ -286,7 +286,7 @@
         out: list[str] = []
         serial, now = "0", 0.0
         try:
-            name, fields = split(opening)
+            name, fields = read_line(opening)
             if name != "BEGIN_BATCH":
                 raise MalformedError(f"'{name}' where a batch should begin")
             serial, now = str(int(fields["serial"])), seconds(fields["NowUs"])
@@ -307,7 +307,7 @@
         """One event; what is malformed ends in a plain message and a CRASH, so does a fault of the module."""
         door: int | None = None
         try:
-            name, fields = split(text)
+            name, fields = read_line(text)
             if name == "LIST":
                 self.read_list(fields, lines)
                 return
@@ -343,7 +343,7 @@
                 raise MalformedError(f"unknown class '{event.class_name}'")
             if event.plan not in gateway.plans:
                 raise MalformedError(f"unknown plan '{event.plan}'")
-        if isinstance(event, i.AttemptEnded) and (event.request, event.attempt) not in gateway.open:
+        if isinstance(event, i.AttemptEnded) and (event.request, event.attempt) not in gateway.open_attempts:
             raise MalformedError(f"no attempt {event.attempt} of {event.request} is out")
         return event
 
@@ -352,7 +352,7 @@
         raw = [next(lines, "").rstrip("\n") for _ in range(int(fields["Entries"]))]
         entries = []
         for line in raw:
-            name, entry = split(line)
+            name, entry = read_line(line)
             if name != "M":
                 raise MalformedError(f"'{name}' where a list entry should be")
             entries.append(read_entry(entry))
--- a/hoistfold/call_budget.py
+++ b/hoistfold/call_budget.py
@@ -11,14 +11,14 @@
 
 from hoistfold import interface as i
 
-SLOW = 0.5  # of the limit: a queue as long as that is about to answer nobody in time
-STEP = 0.0125  # by which the share grows with each answer in time
-DECREASE, LEAST_SHARE = 0.7, 0.02
-MEMORY = 200.0  # requests over which the parts of the kinds are reckoned
-UNSEEN = 0.3  # of a kind's asks, the part that is taken to find no room before any has been answered
-WEIGHT = 4.0  # so much more a unit beyond a quota counts than one inside that is refused: it has a bound
+SLOW_ANSWER_SHARE = 0.5  # of the timeout: with a longer queue, the counter is about to miss all deadlines
+INCREASE = 0.0125  # of the share, for each answer in time
+DECREASE, MIN_SHARE = 0.7, 0.02
+MAX_COUNTED_REQUESTS = 200.0  # above which the counts of request kinds are halved, to follow the traffic
+INITIAL_OVER_QUOTA_RATE = 0.3  # assumed for a kind before its first answer
+EXCESS_WEIGHT = 4.0  # of a unit over quota against a refused one within it; overuse has a fixed bound
 
-Kind = tuple[i.Plan, bool]  # of a request: its plan, and whether it would be let in unasked
+RequestKind = tuple[i.Plan, bool]  # plan, and whether the request would be admitted without a call
 
 
 class CallBudget:
@@ -26,41 +26,45 @@
 
     def __init__(self, limit: float) -> None:
         """`limit`: seconds after which a call counts as unanswered."""
-        self.limit = limit
+        self.timeout = limit
         self.share = 1.0  # of the requests, those that are asked for
-        self.fell_at = -math.inf
-        self.beyond: dict[Kind, float] = {}  # of the asks, the part that found no room
-        self.requests: dict[Kind, float] = {}  # recent ones, whether they were asked for or not
-        self.due: dict[Kind, float] = {}
+        self.decreased_at = -math.inf
+        self.over_quota_rate: dict[RequestKind, float] = {}  # of the asks, the part that found no room
+        self.request_counts: dict[RequestKind, float] = {}  # recent ones, whether they were asked for or not
+        self.call_credit: dict[RequestKind, float] = {}
 
-    def answered(self, now: float, outcome: i.Outcome, latency: float) -> None:
+    def call_ended(self, now: float, outcome: i.Outcome, latency: float) -> None:
         """What the end of a call says of the counter."""
-        if outcome is i.Outcome.OK and latency < SLOW * self.limit:
-            self.share = min(1.0, self.share + STEP)
-        elif now - self.fell_at >= self.limit:  # else of the same queue
-            self.fell_at = now
-            self.share = max(LEAST_SHARE, self.share * DECREASE)
+        if outcome is i.Outcome.OK and latency < SLOW_ANSWER_SHARE * self.timeout:
+            self.share = min(1.0, self.share + INCREASE)
+        elif now - self.decreased_at >= self.timeout:  # else of the same queue
+            self.decreased_at = now
+            self.share = max(MIN_SHARE, self.share * DECREASE)
 
-    def learn(self, kind: Kind, beyond: bool) -> None:
+    def record_answer(self, kind: RequestKind, beyond: bool) -> None:
         """Whether an ask found no room."""
-        known = self.beyond.get(kind, UNSEEN)
-        self.beyond[kind] = known + 0.05 * (beyond - known)
+        known = self.over_quota_rate.get(kind, INITIAL_OVER_QUOTA_RATE)
+        self.over_quota_rate[kind] = known + 0.05 * (beyond - known)
 
-    def allows(self, kind: Kind) -> bool:
+    def allows(self, kind: RequestKind) -> bool:
         """False for a request that isn't asked for: of a pressed counter first those that are worth least."""
-        self.requests[kind] = self.requests.get(kind, 0.0) + 1
-        total = sum(self.requests.values())
-        dearer = sum(count for known, count in self.requests.items() if self.worth(known) > self.worth(kind))
-        part = (self.share * total - dearer) / self.requests[kind]
-        self.due[kind] = self.due.get(kind, 0.0) + min(1.0, max(0.0, part))
-        allowed = self.due[kind] >= 1.0
-        self.due[kind] -= allowed
-        if total > MEMORY:
-            self.requests = {known: count / 2 for known, count in self.requests.items()}
+        self.request_counts[kind] = self.request_counts.get(kind, 0.0) + 1
+        total = sum(self.request_counts.values())
+        dearer = sum(
+            count
+            for known, count in self.request_counts.items()
+            if self.answer_value(known) > self.answer_value(kind)
+        )
+        part = (self.share * total - dearer) / self.request_counts[kind]
+        self.call_credit[kind] = self.call_credit.get(kind, 0.0) + min(1.0, max(0.0, part))
+        allowed = self.call_credit[kind] >= 1.0
+        self.call_credit[kind] -= allowed
+        if total > MAX_COUNTED_REQUESTS:
+            self.request_counts = {known: count / 2 for known, count in self.request_counts.items()}
         return allowed
 
-    def worth(self, kind: Kind) -> float:
+    def answer_value(self, kind: RequestKind) -> float:
         """What an answer saves on a unit: being let in beyond the quota, or being refused inside it."""
         plan, share = kind
-        beyond = self.beyond.get(kind, UNSEEN)
-        return plan.price * (WEIGHT * beyond * plan.excess_cost if share else 1.0 - beyond)
+        beyond = self.over_quota_rate.get(kind, INITIAL_OVER_QUOTA_RATE)
+        return plan.price * (EXCESS_WEIGHT * beyond * plan.excess_cost if share else 1.0 - beyond)
--- a/hoistfold/ceiling.py
+++ b/hoistfold/ceiling.py
@@ -10,12 +10,12 @@
 
 from hoistfold.interface import Plan
 
-PRIMARY_LEAST = 0.6  # of a ceiling, granted by the primary coordinator; at least what the quota itself needs
-SECONDARY_REST = 0.75  # of what is left, granted by the secondary one while members can't reach the primary
+MIN_PRIMARY_SHARE = 0.6  # of a ceiling, unless the quota itself needs more
+SECONDARY_SHARE_OF_REST = 0.75  # of what the primary leaves; granted while members can't reach the primary
 
 
 @dataclass(slots=True, frozen=True)
-class CeilingParts:
+class CeilingShares:
     """Of one ceiling: what the two coordinators grant from, and what all members take from evenly."""
 
     primary: float
@@ -27,11 +27,11 @@
         return (self.primary, self.secondary)[index] if index < 2 else 0.0
 
 
-def ceiling_parts(plan: Plan) -> CeilingParts:
+def ceiling_shares(plan: Plan) -> CeilingShares:
     """The parts of a plan's ceiling; all of it is the members' where the plan has none."""
     if not plan.ceiling_rate or not plan.ceiling_burst:
-        return CeilingParts(0.0, 0.0, 1.0)
+        return CeilingShares(0.0, 0.0, 1.0)
     needed = max(plan.rate / plan.ceiling_rate, plan.burst / plan.ceiling_burst)
-    primary = min(1.0, max(PRIMARY_LEAST, needed))
-    secondary = (1.0 - primary) * SECONDARY_REST
-    return CeilingParts(primary, secondary, 1.0 - primary - secondary)
+    primary = min(1.0, max(MIN_PRIMARY_SHARE, needed))
+    secondary = (1.0 - primary) * SECONDARY_SHARE_OF_REST
+    return CeilingShares(primary, secondary, 1.0 - primary - secondary)
--- a/hoistfold/tries.py
+++ b/hoistfold/client_timeouts.py
@@ -8,26 +8,26 @@
 
 from dataclasses import dataclass
 
-SAME = 0.05  # of the deadline: times that differ by no more are the same, as a busy loop takes some too
-MOST_VOTES = 50.0  # so that a new usual time is learnt within some hundred tries
-AGAINST = 0.25  # of a vote, by a try that differs: the usual time needs a fifth of all tries
-KNOWN_FROM = 2.0  # votes from which there is a usual time at all
+TOLERANCE = 0.05  # of the deadline: timeouts that differ by less are equal, as busy event loops add delay
+MAX_VOTES = 50.0  # so that a new common timeout is learned within a few hundred requests
+MISMATCH_VOTE = 0.25  # subtracted by each other timeout: the common one needs a fifth of all requests
+MIN_VOTES = 2.0  # from which a common timeout is known
 
 
 @dataclass(slots=True)
-class UsualTime:
+class UsualTimeout:
     """The most common time that the tries of one class are given, by a running vote."""
 
     deadline: float
-    time: float = 0.0
+    timeout: float = 0.0
     votes: float = 0.0
 
-    def waited(self, time_left: float) -> float:
+    def observe(self, time_left: float) -> float:
         """Counts a try; seconds that its client has surely waited before it, 0 where that is not told."""
-        if abs(time_left - self.time) <= SAME * self.deadline:
-            self.votes = min(MOST_VOTES, self.votes + 1)
+        if abs(time_left - self.timeout) <= TOLERANCE * self.deadline:
+            self.votes = min(MAX_VOTES, self.votes + 1)
             return 0.0
-        self.votes -= AGAINST
+        self.votes -= MISMATCH_VOTE
         if self.votes < 0:
-            self.time, self.votes = time_left, 1.0
-        return max(0.0, self.deadline - time_left) if self.votes >= KNOWN_FROM else 0.0
+            self.timeout, self.votes = time_left, 1.0
+        return max(0.0, self.deadline - time_left) if self.votes >= MIN_VOTES else 0.0
--- a/hoistfold/codec.py
+++ b/hoistfold/codec.py
@@ -6,14 +6,14 @@
 import zlib
 
 from hoistfold.interface import Plan
-from hoistfold.state import SCALE, Entry, Quota
+from hoistfold.state import COUNTS_PER_UNIT, Entry, Quota
 
 ENTRY = struct.Struct(">5sBBHHHHHH")  # the fields of state.Entry
-SUM = struct.Struct(">I")
-ROOM = 256 - SUM.size  # bytes of entries that a message holds
+CHECKSUM = struct.Struct(">I")
+MAX_ENTRY_BYTES = 256 - CHECKSUM.size  # bytes of entries that a message holds
 
 
-def packed(
+def pack_entry(
     plans: tuple[Plan, ...],
     quota: Quota,
     what: int,
@@ -23,19 +23,19 @@
     units: int = 0,
 ) -> bytes:
     """One customer's entry; `count` where it isn't the one kept of the place."""
-    told, plan = min(round(level * SCALE), 0xFFFF), plans.index(quota.plan)
+    told, plan = min(round(level * COUNTS_PER_UNIT), 0xFFFF), plans.index(quota.plan)
     count = quota.counts[place] if count is None else count
     return ENTRY.pack(quota.key, plan, what, quota.first, quota.size, place, count, told, units)
 
 
-def seal(entries: bytes) -> bytes:
+def encode_message(entries: bytes) -> bytes:
     """Entries as a message; the checksum lets a garbled one be dropped."""
-    return SUM.pack(zlib.crc32(entries)) + entries
+    return CHECKSUM.pack(zlib.crc32(entries)) + entries
 
 
-def opened(content: bytes) -> list[Entry] | None:
+def decode_message(content: bytes) -> list[Entry] | None:
     """The entries of a message, or None where it is not sound."""
-    entries = content[SUM.size :]
-    if content[: SUM.size] != SUM.pack(zlib.crc32(entries)) or len(entries) % ENTRY.size:
+    entries = content[CHECKSUM.size :]
+    if content[: CHECKSUM.size] != CHECKSUM.pack(zlib.crc32(entries)) or len(entries) % ENTRY.size:
         return None
     return [Entry(*fields) for fields in ENTRY.iter_unpack(entries)]
--- a/hoistfold/partition.py
+++ b/hoistfold/partition.py
@@ -13,30 +13,30 @@
 
 from hoistfold.interface import MembershipChanged
 
-MINORITY_PART = 0.1  # of its even shares, for the side of a cut that may not take over
-SILENT_EPOCHS = 4  # without a message after which a member counts as not heard
-DOUBTED_EPOCHS = 2  # without a message from half of the members after which a cut may have begun
-BELIEVED_SECONDS = (
-    6.0  # of silence after which the membership is believed that a member is there all the same
-)
+MINORITY_SHARE = 0.1  # of its even shares of a quota, for a side without quorum
+SILENT_EPOCHS = 4  # without a message, after which a member counts as unreachable
+SUSPICIOUS_EPOCHS = 2  # without a message from half of the members, after which a partition may have begun
+MAX_UNEXPLAINED_SILENCE_SECONDS = 6.0  # after which a silent member is alive if the membership says so
 
 
 @dataclass(slots=True, frozen=True)
 class Partition:
     """The members that are not reached, and whether this side goes on with the whole quota."""
 
-    unreached: frozenset[int] = frozenset()
+    unreachable: frozenset[int] = frozenset()
     has_quorum: bool = True
 
-    def part_of_quota(self, ring: Sequence[int]) -> float:
+    def quota_share(self, ring: Sequence[int]) -> float:
         """The part of the quota of a tenant whose requests come in by these members, 0 to 1."""
-        unreached = sum(number in self.unreached for number in ring)
+        unreached = sum(number in self.unreachable for number in ring)
         if self.has_quorum or not unreached:
             return 1.0
-        return MINORITY_PART * (len(ring) - unreached) / len(ring)
+        return MINORITY_SHARE * (len(ring) - unreached) / len(ring)
 
 
-def partition_of(fleet: MembershipChanged, silences: Mapping[int, float], epoch_seconds: float) -> Partition:
+def detect_partition(
+    fleet: MembershipChanged, silences: Mapping[int, float], epoch_seconds: float
+) -> Partition:
     """What follows from the membership and from the seconds for which each other member was not heard."""
     unreached = fleet.unreachable | _silent(fleet, silences, epoch_seconds)
     reached = fleet.alive - unreached
@@ -54,7 +54,9 @@
     return frozenset(
         number
         for number, silence in silences.items()
-        if number in fleet.alive and silence >= least and (fleet.unreachable or silence < BELIEVED_SECONDS)
+        if number in fleet.alive
+        and silence >= least
+        and (fleet.unreachable or silence < MAX_UNEXPLAINED_SILENCE_SECONDS)
     )
 
 
@@ -69,5 +71,5 @@
 
     `silences`: seconds for which each of the others that count as reached was not heard.
     """
-    silent = sum(silence >= DOUBTED_EPOCHS * epoch_seconds for silence in silences)
+    silent = sum(silence >= SUSPICIOUS_EPOCHS * epoch_seconds for silence in silences)
     return 2 * silent >= len(silences) + 1
--- a/lab/bench_counter.py
+++ b/lab/bench_counter.py
@@ -24,7 +24,7 @@
 from zlib import crc32
 
 from hoistfold import interface as i
-from hoistfold.brain import Gateway
+from hoistfold.gateway import Gateway
 from lab.box import Box
 from lab.callers import Callers, command, kind_of, read
 from lab.counter import Door, Store
--- a/lab/tenants.py
+++ b/lab/tenants.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from hoistfold import interface as i
-from hoistfold.brain import Gateway
+from hoistfold.gateway import Gateway
 from lab.vast import CHANGE, VIEW, Fleet, settings
 
 BASIC = i.Plan("basic", 1.1, 6.0, 0, 0.88, 0.3, 0.0, 0.0, 0.0, 0.0)
--- a/lab/vast.py
+++ b/lab/vast.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from hoistfold import interface as i
-from hoistfold.brain import Gateway
+from hoistfold.gateway import Gateway
 from lab.report import Report
 
 VIEW = i.RequestClass("view", 1.2, 4.5, 1.0, 0.0, i.Effect.SAFE, i.DedupScope.ALL, 15.0, False, 0.0)
@@ -235,7 +235,7 @@
         fleet.run(10.0)
         name = f"vast.{gateways}x{backends}"
         per = Counter(hop for _, hop in fleet.idle)  # ingresses that ever had a connection to it
-        sharers = gateways * fleet.live[0].reach / backends
+        sharers = gateways * fleet.live[0].subset_size / backends
         requests, counts = fleet.requests, Counter(fleet.counts)
         report.tell(f"{name}.dials", counts["dials"] / requests, "a-request", "<=0.15")
         bound = f"<={math.ceil(sharers) + 2}"
--- a/standflow/assembly.py
+++ b/standflow/assembly.py
@@ -409,7 +409,7 @@
     def _make_counter_calls(self) -> QuotaCalls | None:
         """Quotas by the counter service instead of the ring, if peer messages are not allowed."""
         settings, counter = self.config.settings, self.config.counter
-        if counter is None or not self.driver.module.counting:
+        if counter is None or not self.driver.module.uses_counter:
             return None
         from standflow.counter.quota_calls import QuotaCalls
 
--- a/standflow/driver.py
+++ b/standflow/driver.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from hoistfold import interface as i
-from hoistfold.brain import Gateway
+from hoistfold.gateway import Gateway
 from standflow.exchange import (
     AbandonReason,
     Branch,
@@ -209,14 +209,14 @@
 
     def peers_last_seen(self) -> list[float]:
         """When the last valid message of each other ingress arrived, on the loop's clock."""
-        return [peer.heard - self.clock_offset for peer in self.module.peers.values()]
+        return [peer.last_seen - self.clock_offset for peer in self.module.peers.values()]
 
     def export_state(self) -> dict[str, Any]:
         """The module's state, for another process of this ingress."""
         from hoistfold import handover
 
-        state = handover.export(self.module) | {"offset": self.clock_offset}
-        self.exported_counts = handover.counts(self.module)
+        state = handover.export_state(self.module) | {"offset": self.clock_offset}
+        self.exported_counts = handover.use_counts(self.module)
         return state
 
     def import_state(self, state: dict[str, Any]) -> None:
@@ -225,20 +225,22 @@
 
         # Both processes read the same monotonic clock; their offsets differ if the wall clock was stepped
         # between their starts.
-        handover.absorb(self.module, state, self.clock_offset - float(state.get("offset", self.clock_offset)))
-        self.exported_counts = handover.counts(self.module)
+        handover.import_state(
+            self.module, state, self.clock_offset - float(state.get("offset", self.clock_offset))
+        )
+        self.exported_counts = handover.use_counts(self.module)
 
     def spent(self) -> list[list[Any]]:
         """Use since `export_state` or `import_state`, without what `add` contributed."""
         from hoistfold import handover
 
-        return handover.spent(self.module, self.exported_counts)
+        return handover.use_since(self.module, self.exported_counts)
 
     def add(self, use: list[Any]) -> None:
         """Adds use by another process of this ingress, a row of its `spent`."""
         from hoistfold import handover
 
-        handover.add(self.module, self.loop.now() + self.clock_offset, *use)
+        handover.add_use(self.module, self.loop.now() + self.clock_offset, *use)
         key, more = bytes.fromhex(use[0]), use[4]
         # The other process knows of it, so `spent` must not report it back.
         self.exported_counts[key] = (self.exported_counts.get(key, 0) + more) & 0xFFFF
@@ -247,35 +249,35 @@
         """The other process is dead: this one uses again what it handed over."""
         from hoistfold import handover
 
-        handover.resume(self.module)
+        handover.restore_cold_credit(self.module)
 
     def used_since(self, since: float) -> list[list[Any]]:
         """Quota windows used since a time of the loop's clock."""
         from hoistfold import handover
 
-        return handover.used(self.module, since + self.clock_offset)
+        return handover.used_windows(self.module, since + self.clock_offset)
 
     def restore_use(self, rows: list[list[Any]]) -> None:
         """Restores quota windows that an earlier process run may have spent."""
         from hoistfold import handover
 
-        handover.refill(self.module, self.loop.now() + self.clock_offset, rows)
+        handover.restore_windows(self.module, self.loop.now() + self.clock_offset, rows)
 
     def learnt(self) -> dict[str, Any]:
         """What the module learnt about backends and classes, as a hint for a later process run."""
         from hoistfold import handover
 
-        return handover.learnt(self.module)
+        return handover.export_estimates(self.module)
 
     def learn(self, hint: dict[str, Any]) -> None:
         """Takes in such a hint."""
         from hoistfold import handover
 
-        handover.learn(self.module, self.loop.now() + self.clock_offset, hint)
+        handover.import_estimates(self.module, self.loop.now() + self.clock_offset, hint)
 
     def ejected(self) -> set[str]:
         """The next hops that outlier detection has ejected."""
-        return self.module.avoided()
+        return self.module.ejected_backends()
 
     def peer_message_received(self, sender: int, content: bytes) -> None:
         """Passes PeerMessage."""
--- a/tests/test_call_budget.py
+++ b/tests/test_call_budget.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hoistfold import interface as i
-from hoistfold.call_budget import LEAST_SHARE, CallBudget
+from hoistfold.call_budget import MIN_SHARE, CallBudget
 
 LIMIT = 0.08
 QUICK = (i.Outcome.OK, 0.002)
@@ -17,7 +17,7 @@
 def told(budget: CallBudget, since: float, *ends: tuple[i.Outcome, float]) -> float:
     """The ends of calls, one after another; returns the share that is asked for after that."""
     for number, (outcome, latency) in enumerate(ends):
-        budget.answered(since + 0.1 * number, outcome, latency)
+        budget.call_ended(since + 0.1 * number, outcome, latency)
     return budget.share
 
 
@@ -25,18 +25,18 @@
 def test_a_counter_that_is_pressed_or_silent_is_asked_less(end: tuple[i.Outcome, float]) -> None:
     budget = CallBudget(LIMIT)
     assert told(budget, 10.0, *[end] * 5) < 0.2
-    assert told(budget, 11.0, *[end] * 30) == LEAST_SHARE
+    assert told(budget, 11.0, *[end] * 30) == MIN_SHARE
 
 
 def test_one_slow_queue_makes_the_share_fall_once() -> None:
     budget = CallBudget(LIMIT)
     for _ in range(20):
-        budget.answered(10.0, *SLOW)
+        budget.call_ended(10.0, *SLOW)
     assert budget.share == pytest.approx(0.7)
 
 
 def test_the_share_grows_with_the_answers_in_time_alone() -> None:
     budget = CallBudget(LIMIT)
     told(budget, 10.0, *[FULL] * 30)
-    assert told(budget, 20.0, *[QUICK] * 40) == pytest.approx(LEAST_SHARE + 0.5)
+    assert told(budget, 20.0, *[QUICK] * 40) == pytest.approx(MIN_SHARE + 0.5)
     assert told(budget, 99.0, *[QUICK] * 40) == 1.0
--- a/tests/test_coordinators.py
+++ b/tests/test_coordinators.py
@@ -7,10 +7,10 @@
 import pytest
 
 from hoistfold import interface as i
-from hoistfold.ceiling import ceiling_parts
-from hoistfold.codec import packed, seal
-from hoistfold.coordinators import SKIP_SECONDS, WAITING_KEPT
-from hoistfold.state import SCALE, MessageKind, Quota, coordinator_place
+from hoistfold.ceiling import ceiling_shares
+from hoistfold.codec import encode_message, pack_entry
+from hoistfold.coordinators import MAX_QUEUED, SKIP_SECONDS
+from hoistfold.state import COUNTS_PER_UNIT, MessageKind, Quota, primary_coordinator_index
 from hoistfold.token_bucket import TokenBucket
 from lab.tenants import CHAMBERS, Tenant, TenantFleet
 from tests.test_ring import keepers_of, key_of
@@ -106,14 +106,14 @@
     assert at_coordinator.member_use == 2.0
     assert ring.ask(member, "b")  # by the lease, with no message
     assert quota.lease == 0.0
-    assert at_coordinator.counts[quota.place] == quota.counts[quota.place] == 2 * SCALE
+    assert at_coordinator.counts[quota.index] == quota.counts[quota.index] == 2 * COUNTS_PER_UNIT
     quota.own_rate = 8.0
     assert ring.ask(member, "c")
-    assert at_coordinator.counts[quota.place] == 4 * SCALE
-    quota.lease_until, quota.own_rate = ring.now, 0.0  # it runs out unused
+    assert at_coordinator.counts[quota.index] == 4 * COUNTS_PER_UNIT
+    quota.lease_expires_at, quota.own_rate = ring.now, 0.0  # it runs out unused
     used_before = at_coordinator.member_use
     assert ring.ask(member, "d")
-    assert at_coordinator.counts[quota.place] == quota.counts[quota.place] == 4 * SCALE
+    assert at_coordinator.counts[quota.index] == quota.counts[quota.index] == 4 * COUNTS_PER_UNIT
     assert at_coordinator.member_use < used_before  # one came back, one was taken, and time has passed
 
 
@@ -123,9 +123,9 @@
     gateway = ring.live[member]
     quota, at_coordinator = common_quota(ring, member), common_quota(ring, coordinator)
     assert quota.lease == 1.0
-    report = packed(gateway.settings.plans, quota, MessageKind.TELL, quota.place, quota.own)
-    ring.live[coordinator].handle(ring.now, i.PeerMessage(member, seal(report)))
-    assert at_coordinator.counts[quota.place] == quota.counts[quota.place] + SCALE
+    report = pack_entry(gateway.settings.plans, quota, MessageKind.REPORT, quota.index, quota.own)
+    ring.live[coordinator].handle(ring.now, i.PeerMessage(member, encode_message(report)))
+    assert at_coordinator.counts[quota.index] == quota.counts[quota.index] + COUNTS_PER_UNIT
 
 
 def test_requests_that_come_while_a_total_is_asked_for_wait_for_it() -> None:
@@ -135,7 +135,7 @@
     key = key_of("capped c1")
     gateway = ring.live[20]
     quota = gateway.quota_of(key, CAPPED, 10, 40)
-    coordinators = gateway.members(quota, coordinator_place(quota))[:2]
+    coordinators = gateway.members(quota, primary_coordinator_index(quota))[:2]
     member = next(n for n in range(10, 50) if n not in coordinators)
     gateway = ring.live[member]
     gateway.handle(ring.now, listed(*(backend(f"b{n}") for n in range(60))))
@@ -151,9 +151,9 @@
     ring = LongRing()
     _, member = coordinator_and_member(ring)
     gateway = ring.live[member]
-    for n in range(3 * WAITING_KEPT):
+    for n in range(3 * MAX_QUEUED):
         gateway.handle(ring.now, request(f"r{n}", ring_size=100, ring_first=250))
-    assert len(gateway.quotas[key_of("basic c1")].waiting) == WAITING_KEPT
+    assert len(gateway.quotas[key_of("basic c1")].queued) == MAX_QUEUED
 
 
 def test_one_lost_answer_does_not_cost_a_coordinator_its_place() -> None:
@@ -162,11 +162,11 @@
     gateway = ring.live[member]
     ring.dead = {coordinator}
     assert ring.ask(member, "a")  # by the next coordinator
-    assert gateway.answers(coordinator)
+    assert gateway.reachable(coordinator)
     assert ring.ask(member, "b")
-    assert not gateway.answers(coordinator)
+    assert not gateway.reachable(coordinator)
     gateway.now += SKIP_SECONDS + 0.1
-    assert gateway.answers(coordinator)
+    assert gateway.reachable(coordinator)
 
 
 def test_without_a_budget_a_tenant_far_from_its_quota_is_admitted_and_told_later() -> None:
@@ -183,7 +183,7 @@
     ring.now += 10.0  # the budget is back: the next ask tells of both
     assert ring.ask(member, "c")
     assert key_of("basic c1") not in gateway.coordination.unreported[coordinator]
-    place = gateway.quotas[key_of("basic c1")].place
+    place = gateway.quotas[key_of("basic c1")].index
     assert ring.live[coordinator].quotas[key_of("basic c1")].counts[place] >= 3 * 4
 
 
@@ -227,7 +227,7 @@
         ring.ask(255, f"r{turn}", plan="capped")
     quota = ring.live[255].quotas[key_of("capped c1")]
     assert quota.refusals == 0
-    assert quota.shut_until <= ring.now
+    assert quota.blocked_until <= ring.now
 
 
 def test_nothing_is_asked_for_a_request_that_no_backend_can_take() -> None:
@@ -246,13 +246,13 @@
     ring = LongRing(plans=plans, max_units=1.0)
     key = key_of("capped c1")
     quota = ring.live[255].quota_of(key, CAPPED, 250, 100)
-    members = ring.live[255].members(quota, coordinator_place(quota))
+    members = ring.live[255].members(quota, primary_coordinator_index(quota))
     ring.now += 60.0
     ring.dead = {members[0]}
     taken = 0
     for turn in range(60):  # sixty requests in twelve seconds, at members that are no coordinators
         taken += ring.ask(members[10 + turn], f"r{turn}", plan="capped")
-    parts = ceiling_parts(CAPPED)
+    parts = ceiling_shares(CAPPED)
     allowed = (parts.secondary + parts.members) * (CAPPED.ceiling_burst + 12.0 * CAPPED.ceiling_rate)
     assert 0 < taken <= allowed
 
@@ -265,12 +265,12 @@
         plan = replace(
             CAPPED, ceiling_rate=CAPPED.rate * burst_factor, ceiling_burst=CAPPED.burst * burst_factor
         )
-        parts = ceiling_parts(plan)
+        parts = ceiling_shares(plan)
         assert parts.primary + parts.secondary + parts.members == pytest.approx(1.0)
         assert parts.primary * plan.ceiling_rate >= plan.rate * 0.999
         assert min(parts.primary, parts.secondary, parts.members) >= 0.0
         assert parts.granted_by(2) == 0.0
-    assert ceiling_parts(BASIC).members == 1.0
+    assert ceiling_shares(BASIC).members == 1.0
 
 
 def test_a_token_bucket_holds_its_rate_and_capacity() -> None:
--- a/tests/test_counted.py
+++ b/tests/test_counted.py
@@ -16,7 +16,7 @@
 import pytest
 
 from hoistfold import interface as i
-from hoistfold.counted import PERIOD, TOLERATED, Stores
+from hoistfold.counter_quotas import PERIOD_SECONDS, TOLERANCE, CounterQuotas
 from hoistfold.state import Quota, Request
 from lab.box import Box
 from lab.callers import command, kind_of, read
@@ -56,14 +56,14 @@
     world = Counting(5)
     assert world.ask(0, "a")
     world.now += 20.0  # all of one period
-    assert BASIC.burst <= spent(world, 100, "b") <= (1 + TOLERATED) * BASIC.burst
+    assert BASIC.burst <= spent(world, 100, "b") <= (1 + TOLERANCE) * BASIC.burst
 
 
 def test_what_is_left_of_a_period_goes_over_to_the_next() -> None:
     world = Counting(5)
     assert spent(world, 20) == BASIC.burst
     names, step = len(world.numbers), 0.5
-    for n in range(round(2 * PERIOD / step)):
+    for n in range(round(2 * PERIOD_SECONDS / step)):
         world.now += step
         assert spent(world, 20, f"{n}.") <= step * BASIC.rate + 1
     assert len(world.numbers) > names  # a period has ended
@@ -129,7 +129,7 @@
     world.ask(1, "first")
     world.outcome = i.Outcome.FULL
     assert world.ask(0, "a")
-    world.outcome, world.live[0].stores.budget.share = i.Outcome.OK, 1.0
+    world.outcome, world.live[0].counter.budget.share = i.Outcome.OK, 1.0
     assert spent(world, 30, "b") == BASIC.burst - 2
 
 
@@ -178,7 +178,9 @@
     attempt = ended(out[1][0], i.Outcome.CANCELLED, 1)
     world.pass_on(1, world.live[1].handle(world.now, replace(attempt, finished=True)))
     assert sends(world.come(7, "d", plan="limited"))
-    assert not any(gateway.stores.out for n, gateway in enumerate(world.live) if not gateway.open)
+    assert not any(
+        gateway.counter.counted_requests for n, gateway in enumerate(world.live) if not gateway.open_attempts
+    )
 
 
 @pytest.mark.parametrize("rate", [0.0, 100.0])
@@ -214,19 +216,19 @@
         if world.ask(chance.randrange(7), f"{n}", units=units):
             level += units
         over = max(over, level - BASIC.burst)
-    assert over <= TOLERATED * BASIC.burst + 1e-6
+    assert over <= TOLERANCE * BASIC.burst + 1e-6
 
 
 def test_of_a_pressed_counter_the_dearest_plan_is_asked_first_and_later_all_again() -> None:
     made: list[i.Action] = []
-    stores, dear = Stores(0.08, made.append), replace(BASIC, name="dear", price=3.0)
+    stores, dear = CounterQuotas(0.08, made.append), replace(BASIC, name="dear", price=3.0)
 
     def asks(plan: i.Plan, tries: int) -> int:
         before = len(made)
         for _ in range(tries):
             quota = Quota(plan.name.encode(), plan, 0, 9, 0, 0.0, 0.0)
             asked = Request("r", READ, quota, 3.0, False, 1.0)
-            stores.ask(1000.0, asked, True, lambda used: False)
+            stores.check(1000.0, asked, True, lambda used: False)
         return len(made) - before
 
     now = 1000.0
@@ -236,7 +238,7 @@
         while made:
             call, now = made.pop(0), now + 0.1
             assert isinstance(call, i.AddToCounter)
-            stores.answered(now, i.CounterAnswered(call.name, i.Outcome.OK, 5.0, latency))
+            stores.counter_answered(now, i.CounterAnswered(call.name, i.Outcome.OK, 5.0, latency))
 
     assert [asks(BASIC, 20), asks(dear, 20)] == [20, 20]
     stores.budget.share = 0.5
@@ -252,12 +254,12 @@
 
 
 def test_of_a_pressed_counter_that_is_asked_which_most_likely_changes_the_answer() -> None:
-    stores = Stores(0.08, lambda action: None)
+    stores = CounterQuotas(0.08, lambda action: None)
     inside, refused = (BASIC, True), (BASIC, False)  # what would be let in unasked, and what would not
-    stores.budget.beyond = {inside: 0.0, refused: 0.0}  # there is room for all
-    assert stores.budget.worth(refused) > stores.budget.worth(inside) == 0.0
-    stores.budget.beyond = {inside: 0.5, refused: 1.0}  # there is room for half, and for none
-    assert stores.budget.worth(inside) > stores.budget.worth(refused) == 0.0
+    stores.budget.over_quota_rate = {inside: 0.0, refused: 0.0}  # there is room for all
+    assert stores.budget.answer_value(refused) > stores.budget.answer_value(inside) == 0.0
+    stores.budget.over_quota_rate = {inside: 0.5, refused: 1.0}  # there is room for half, and for none
+    assert stores.budget.answer_value(inside) > stores.budget.answer_value(refused) == 0.0
 
 
 def test_a_fleet_with_a_counter_that_serves_all_its_calls_keeps_to_the_quotas() -> None:
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -369,7 +369,7 @@
     older = ScriptedDriver()
     module = older.driver.module
     spent = module.quota_of(b"12345", next(iter(module.plans.values())), 0, 1)
-    spent.at, spent.own = older.at.loop.now() + older.driver.clock_offset, spent.plan.burst
+    spent.drained_at, spent.own = older.at.loop.now() + older.driver.clock_offset, spent.plan.burst
     began = older.at.loop.now()
     state = json.loads(json.dumps(older.driver.export_state()))
     wall = time.time
--- a/tests/test_fleet_quotas.py
+++ b/tests/test_fleet_quotas.py
@@ -10,8 +10,8 @@
 
 from hoistfold import handover
 from hoistfold import interface as i
-from hoistfold.brain import Gateway
-from hoistfold.partition import MINORITY_PART
+from hoistfold.gateway import Gateway
+from hoistfold.partition import MINORITY_SHARE
 from lab.fleet.simulated import Members
 from lab.quotas import Try, Verdict, judge
 from standflow.config.model import Address
@@ -96,7 +96,7 @@
         plans = {BASIC.name: Plan(BASIC.burst, BASIC.rate)}
         kept: dict[int, tuple[list[Record], dict[int, tuple[int, Address | None]]]] = {}
         for number, gateway in self.live.items():
-            rows = handover.used(gateway, self.now - 10.0)
+            rows = handover.used_windows(gateway, self.now - 10.0)
             use = [Record("use", row[0], row[1:], "boot", self.now) for row in rows]
             membership = self.members.live[number]
             lives: dict[int, tuple[int, Address | None]] = {
@@ -112,7 +112,7 @@
             self.members.start(number).restore_members(lives)
             found = select_trusted(use if store else [], BootClock("boot", self.now), plans)
             rows = [[w.key, w.plan, w.first, w.size, w.own, w.others] for w in found.windows]
-            handover.refill(self.live[number], self.now, rows)
+            handover.restore_windows(self.live[number], self.now, rows)
 
     def verdict(self) -> Verdict:
         return judge(self.tries, RATE, BURST)
@@ -176,7 +176,7 @@
 
 # Of two members: their part, a request each as one must fit, and each its allowance, which is a request of
 # the most units (one), until the others' use is known.
-MOST_AFTER_A_LOSS = MINORITY_PART * 2 / SIZE * (BURST + 10.0 * RATE) + 2 + 2
+MOST_AFTER_A_LOSS = MINORITY_SHARE * 2 / SIZE * (BURST + 10.0 * RATE) + 2 + 2
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -195,11 +195,11 @@
 def test_who_takes_over_from_another_process_goes_by_what_that_one_knew() -> None:
     ring = Ring(max_units=1.0)
     ring._pass(ring.now + 3.0)
-    told = handover.export(ring.live[0])
+    told = handover.export_state(ring.live[0])
     for took_over in (True, False):
         ring.restart(0)  # its membership has not spoken yet
         if took_over:
-            handover.absorb(ring.live[0], told)
+            handover.import_state(ring.live[0], told)
         ring.live[1].handle(ring.now, i.TimerFired(0))
         ring.deliver(1, ring.live[1].handle(ring.now, i.TimerFired(0)))
         ran = sum(ring.ask(0, f"{took_over}{n}", tenant="one", ring_size=SIZE) for n in range(8))
@@ -342,7 +342,7 @@
     ring.play(6.0, {"calm": 0.3}, (1, 1, 1, 0, 0))
     ring.tries.clear()
     ring.play(30.0, {f"late{n}": 3.0 for n in range(4)}, (0, 0, 0, 1, 1))
-    part = MINORITY_PART * 2 / 5
+    part = MINORITY_SHARE * 2 / 5
     most = part * (BURST + 10.0 * RATE) + 2  # and a request each, as one must fit
     assert 0 < ring.verdict().use * (BURST + 10.0 * RATE) <= most
 
@@ -411,7 +411,7 @@
     assert missing & set(range(1, size - len(cut_off)))  # not all deaths were known at one moment
     assert size - len(cut_off) in missing
     allowance = BURST + 10.0 * RATE
-    most = MINORITY_PART * len(cut_off) / size * allowance
+    most = MINORITY_SHARE * len(cut_off) / size * allowance
     most += len(cut_off)  # a request each, as one must fit
     assert 0 < ring.verdict().use * allowance <= most
 
@@ -423,7 +423,7 @@
     ring.play(20.0, ASKED, (3, 3, 2, 0, 0))
     assert ring.verdict().wrong <= 0.02
     assert ring.verdict().use <= 1.10
-    assert all(quota.part == 1.0 for quota in ring.live[0].quotas.values())
+    assert all(quota.share == 1.0 for quota in ring.live[0].quotas.values())
 
 
 def test_what_one_cannot_hear_from_another_is_passed_on_by_whoever_hears_both() -> None:
@@ -473,14 +473,14 @@
         count = 0
         for number in numbers:
             live[number].handle(50.0, listed(cold, kind=i.ListKind.CHANGES))
-            count += "b7" in {b.entry.backend for b in live[number]._nearest()}
+            count += "b7" in {b.entry.backend for b in live[number]._subset()}
         return count
 
-    assert doors(list(range(10))) == live[0]._doors(live[0].backends["b7"]) == 6
+    assert doors(list(range(10))) == live[0]._slow_start_sharers(live[0].backends["b7"]) == 6
     for number in (1, 5, 8):
         live[number].handle(50.0, gone(0, 2, 3, 4, 6, 7, 9))
-        assert live[number].reach == 20  # three share them all
-    assert doors([1, 5, 8]) == live[1]._doors(live[1].backends["b7"]) == 3
+        assert live[number].subset_size == 20  # three share them all
+    assert doors([1, 5, 8]) == live[1]._slow_start_sharers(live[1].backends["b7"]) == 3
     for number in range(10):  # half of them: as many doors, and all of them there
         live[number].handle(50.0, gone(0, 3))
     assert doors([n for n in range(10) if n not in (0, 3)]) == 6
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-BRAIN = Path(__file__).parent.parent / "hoistfold" / "brain.py"
+BRAIN = Path(__file__).parent.parent / "hoistfold" / "gateway.py"
 
 
 def test_brain_is_within_its_limits() -> None:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 
 from hoistfold import interface as i
-from hoistfold.brain import Gateway
-from hoistfold.overload import LEAST_RESERVED, MOST_RESERVED, ClassPriority
+from hoistfold.gateway import Gateway
+from hoistfold.overload import MAX_RESERVED, MIN_RESERVED, ClassPriority
 from tests.world import BASIC, READ, ended, request, sends, started
 
 CHEAP = replace(READ, name="cheap", worth=1.0)
@@ -57,11 +57,11 @@
 def test_the_reserve_grows_with_refusals_of_the_best_class_alone() -> None:
     priority = ClassPriority()
     priority.observe(0.5, True)
-    assert priority.part_of_room(0.0) == 1.0 - LEAST_RESERVED
+    assert priority.capacity_share(0.0) == 1.0 - MIN_RESERVED
     for _ in range(200):
         priority.observe(1.0, True)
-    assert abs(priority.part_of_room(0.0) - (1.0 - MOST_RESERVED)) < 1e-6
-    assert priority.part_of_room(1.0) == 1.0
+    assert abs(priority.capacity_share(0.0) - (1.0 - MAX_RESERVED)) < 1e-6
+    assert priority.capacity_share(1.0) == 1.0
     for _ in range(200):
         priority.observe(1.0, False)
-    assert priority.part_of_room(0.0) > 0.99 * (1.0 - LEAST_RESERVED)
+    assert priority.capacity_share(0.0) > 0.99 * (1.0 - MIN_RESERVED)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -381,7 +381,7 @@
     ingress = Ingress(read(raw, log.append), loop, log.append)
     assert sum("a member was passed over" in line for line in log) == 2
     ingress.start()
-    assert len(ingress.next_hops.hops) == len(ingress.driver.module.order) == 5000
+    assert len(ingress.next_hops.hops) == len(ingress.driver.module.backend_order) == 5000
     ingress.clients.ready = True
     with socket.create_connection(ingress.clients.address) as connection:
         connection.settimeout(LIMIT)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -133,9 +133,9 @@
     assert not sends(again)  # five were allowed, now only one
     assert any(isinstance(action, i.Refuse) for action in again)
     assert sends(gateway.handle(1.2, request("r2", class_name="new")))
-    assert set(gateway.base) == {"read", "new"} | set(gateway.base) & {"write"}
+    assert set(gateway.baseline) == {"read", "new"} | set(gateway.baseline) & {"write"}
     gateway.handle(1.3, i.SettingsChanged(settings(classes=kinds("new"))))
-    assert set(gateway.base) == {"new"}
+    assert set(gateway.baseline) == {"new"}
 
 
 def test_a_file_is_applied_completely_or_not_at_all_and_counted(tmp_path: Path) -> None:
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from hoistfold import interface as i
-from hoistfold.brain import IDLE_FOR
-from hoistfold.state import TWICE
+from hoistfold.gateway import IDLE_QUOTA_SECONDS
+from hoistfold.state import REPORT_TWICE
 from tests.world import BASIC, OPEN, LongRing, Pair, ended, of, request, sealed, sends, started
 
 
@@ -146,8 +146,8 @@
     pair.epochs(4)
     admitted(pair, 0, 3, "a")
     quota = pair.live[0].quotas[key_of("basic c1")]
-    quota.counts[quota.place] = 0xF000
-    pair.live[0]._news(quota, quota.place, TWICE)
+    quota.counts[quota.index] = 0xF000
+    pair.live[0]._queue_report(quota, quota.index, REPORT_TWICE)
     pair.restart(1)
     pair.epochs(3)
     assert 5 <= admitted(pair, 1, 20, "b") <= 8
@@ -186,7 +186,7 @@
             gateway.handle(now, ended(send, i.Outcome.OK))
         if n % 20 == 0:
             gateway.handle(now, i.TimerFired(0))
-    assert len(gateway.quotas) <= 200 * (IDLE_FOR + 4)
+    assert len(gateway.quotas) <= 200 * (IDLE_QUOTA_SECONDS + 4)
 
 
 def test_those_nearest_their_quota_are_told_first() -> None:
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -98,7 +98,7 @@
     names = " ".join(f"b{n}" for n in range(60))
     uses = dict.fromkeys(names.split(), 0)
     for number in range(300):
-        for near in started(names, gateways=300, number=number)._nearest():
+        for near in started(names, gateways=300, number=number)._subset():
             uses[near.entry.backend] += 1
     assert set(uses.values()) == {300 * 6 // 60}
 
@@ -110,7 +110,7 @@
         gateway = started("", gateways=40, number=number)
         old, new = [backend(f"b{n}") for n in range(24)], [backend(f"c{n}", started=1.0) for n in range(36)]
         gateway.handle(1.0, listed(*old, *new, kind=i.ListKind.FULL))
-        gateway.limit, gateway.busy = 0.0, 100.0  # nothing more fits on the warm ones
+        gateway.limit, gateway.avg_in_flight = 0.0, 100.0  # nothing more fits on the warm ones
         for n in range(30):
             for send in sends(gateway.handle(2.0 + n / 10, request(f"r{n}", tenant=f"c{n}"))):
                 assert send.backend.startswith("c")
@@ -158,19 +158,19 @@
             outcome = i.Outcome.CONNECT_FAILED if now < 3.0 else i.Outcome.OK
             actions, attempt = gateway.handle(now, ended(some[0], outcome, attempt)), attempt + 1
     assert late > 350  # of 380
-    assert all(backend.suspect_since is None for backend in gateway.order)
+    assert all(backend.ejected_since is None for backend in gateway.backend_order)
 
 
 def test_one_that_turns_away_is_avoided_and_the_limit_stays() -> None:
     """Those that drained turned requests away at once: the limit fell from 8 to 1.7 on idle ones."""
     gateway = started("b1 b2 b3")
-    gateway.busy = 100.0
+    gateway.avg_in_flight = 100.0
     for n in range(20):
         gateway.now = 1.0 + n / 10
         full = ended(i.Send("x", "b1", None), i.Outcome.FULL)
-        gateway._learn(gateway.backends["b1"], gateway.classes["read"], full)
+        gateway._record_outcome(gateway.backends["b1"], gateway.classes["read"], full)
     assert gateway.limit == 8.0
-    gateway.busy = 0.0
+    gateway.avg_in_flight = 0.0
     got = [sends(gateway.handle(3.0 + n / 100, request(f"r{n}", tenant=f"c{n}"))) for n in range(20)]
     assert sum(send.backend == "b1" for some in got for send in some) <= 1
 
@@ -243,7 +243,7 @@
         out = [sends(gateway.handle(1.0, request(name, class_name="buy", tenant=name)))[0] for name in names]
         for send, outcome in zip(out, outcomes, strict=True):
             gateway.handle(1.1, ended(send, outcome))
-        assert (gateway.backends["b1"].suspect_since is not None) is suspected
+        assert (gateway.backends["b1"].ejected_since is not None) is suspected
 
 
 def test_a_backend_whose_answers_were_lost_is_tried_again_before_long() -> None:
@@ -251,7 +251,9 @@
     gateway = started("b1 b2 b3")
     lost = gateway.backends["b1"]
     for _ in range(8):
-        gateway._learn(lost, gateway.classes["read"], ended(i.Send("x", "b1", None), i.Outcome.TIMEOUT))
+        gateway._record_outcome(
+            lost, gateway.classes["read"], ended(i.Send("x", "b1", None), i.Outcome.TIMEOUT)
+        )
     chosen = {1.0: 0, 21.0: 0}
     for start in chosen:
         for n in range(30):
@@ -266,10 +268,10 @@
 def test_the_limit_comes_back_within_seconds_while_it_is_in_use_and_answers_are_quick() -> None:
     """After a short overload requests were refused for half a minute on backends with nothing to do."""
     gateway = started("b1 b2 b3")
-    gateway.limit, gateway.busy = 2.0, 10.0
+    gateway.limit, gateway.avg_in_flight = 2.0, 10.0
     for n in range(300):
         gateway.now = 1.0 + n / 50
-        gateway._adjust(good=True)
+        gateway._adjust_limit(good=True)
     assert gateway.limit >= 5.0
 
 
@@ -289,18 +291,18 @@
 
     for n in range(200):
         ask(n, i.Outcome.ERROR)
-    assert gateway.avoided() == {"bad"}
+    assert gateway.ejected_backends() == {"bad"}
     assert 3 <= len(sent) <= 3 + 4  # three in a row, and then a trial a second
     assert "buy" not in sent[3:]
     for n in range(200, 400):
         ask(n, i.Outcome.OK)
-    assert gateway.avoided() == set()
+    assert gateway.ejected_backends() == set()
 
 
 def test_each_gateway_of_a_few_sends_to_a_cold_one_within_5_s_however_slow_answers_are() -> None:
     for number in range(4):
         gateway = started("b1 b2 b3", gateways=4, number=number)
-        gateway.base = dict.fromkeys(gateway.base, 2.0)
+        gateway.baseline = dict.fromkeys(gateway.baseline, 2.0)
         back = backend("cold", started=10.0)
         gateway.handle(10.0, listed(back, kind=i.ListKind.CHANGES))
         served = [
@@ -320,7 +322,7 @@
                 gateway.handle(now, ended(out.pop(0)[1], i.Outcome.OK, latency=out_for))
             actions = gateway.handle(now, request(f"r{n}", tenant=f"c{n}", plan="basic"))
             out += [(now, send) for send in sends(actions)]
-        return gateway.took
+        return gateway.warm_load
 
     assert after(rate=20, out_for=0.1, gateways=1) == 1.0  # 0.7 out at each
     assert 1.2 < after(rate=20, out_for=0.1, gateways=2) < 1.5  # as much from the other one
--- a/tests/test_tries.py
+++ b/tests/test_tries.py
@@ -5,43 +5,43 @@
 import pytest
 
 from hoistfold import interface as i
-from hoistfold.tries import UsualTime
+from hoistfold.client_timeouts import UsualTimeout
 from tests.world import READ, ended, request, sends, started
 
 CAP, DEADLINE = 0.5 * READ.deadline, READ.deadline
 
 
-def usual(*times: float) -> UsualTime:
+def usual(*times: float) -> UsualTimeout:
     """The usual time after these tries."""
-    known = UsualTime(DEADLINE)
+    known = UsualTimeout(DEADLINE)
     for time in times:
-        known.waited(time)
+        known.observe(time)
     return known
 
 
 def test_a_try_of_the_usual_time_tells_nothing_and_any_other_how_long_its_client_waited() -> None:
     known = usual(*[CAP] * 10)
-    assert known.waited(CAP + 0.002) == 0
-    assert known.waited(DEADLINE - 0.4) == pytest.approx(0.4)  # a last try has more than the usual
-    assert known.waited(0.5) == DEADLINE - 0.5
+    assert known.observe(CAP + 0.002) == 0
+    assert known.observe(DEADLINE - 0.4) == pytest.approx(0.4)  # a last try has more than the usual
+    assert known.observe(0.5) == DEADLINE - 0.5
 
 
 def test_the_usual_time_stays_that_of_first_tries_where_many_are_last_ones() -> None:
     """In an overload a third of all tries are last ones; they became the usual, and first ones late."""
     known = usual(*[CAP, CAP, DEADLINE - 0.4] * 50)
-    assert known.time == CAP
+    assert known.timeout == CAP
 
 
 def test_nothing_is_late_before_a_usual_time_is_known_or_where_there_is_none() -> None:
-    assert UsualTime(DEADLINE).waited(0.5) == 0
+    assert UsualTimeout(DEADLINE).observe(0.5) == 0
     scattered = usual(*[0.3 + 0.13 * (n * 7 % 20) for n in range(200)])
-    assert scattered.waited(1.0) == 0
+    assert scattered.observe(1.0) == 0
 
 
 def test_a_new_usual_time_is_learnt() -> None:
     known = usual(*[CAP] * 1000, *[0.6 * DEADLINE] * 250)
-    assert known.time == 0.6 * DEADLINE
-    assert known.waited(CAP) == DEADLINE - CAP
+    assert known.timeout == 0.6 * DEADLINE
+    assert known.observe(CAP) == DEADLINE - CAP
 
 
 def test_under_pressure_a_last_try_yields_to_first_ones() -> None:
@@ -53,7 +53,7 @@
             gateway.handle(0.01 * n, ended(send, i.Outcome.OK))
     # fill the room to a half, which a late try may not take
     now, held = 1.0, 0
-    while gateway.busy < 0.5 * gateway.room or held < 5:
+    while gateway.avg_in_flight < 0.5 * gateway.capacity or held < 5:
         held += len(sends(gateway.handle(now, request(f"h{held}", tenant=f"h{held}", time_left=CAP))))
         now += 0.0001
         assert held < 100
@@ -71,7 +71,7 @@
         for send in sends(gateway.handle(0.01 * n, request(f"w{n}", tenant=f"w{n}", time_left=hasty))):
             gateway.handle(0.01 * n, ended(send, i.Outcome.OK, latency=READ.aim / 8))
     now, held = 1.0, 0
-    while gateway.busy < 0.5 * gateway.room or held < 5:
+    while gateway.avg_in_flight < 0.5 * gateway.capacity or held < 5:
         held += len(sends(gateway.handle(now, request(f"h{held}", tenant=f"h{held}", time_left=DEADLINE))))
         now += 0.0001
         assert held < 100
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -24,8 +24,8 @@
 
 from hoistfold import handover
 from hoistfold import interface as i
-from hoistfold.brain import Gateway
-from hoistfold.state import SCALE
+from hoistfold.gateway import Gateway
+from hoistfold.state import COUNTS_PER_UNIT
 from lab.accept import Acceptor
 from standflow.assembly import Ingress
 from standflow.config import load as load_config
@@ -298,18 +298,18 @@
         assert pair.ask(0, f"a{n}")
     pair.epochs(3)
     old = pair.live[0]
-    state = json.loads(json.dumps(handover.export(old)))
-    before = handover.counts(old)
+    state = json.loads(json.dumps(handover.export_state(old)))
+    before = handover.use_counts(old)
     pair.restart(0)
     new = pair.live[0]
-    handover.absorb(new, state)
+    handover.import_state(new, state)
     key = next(iter(old.quotas))
     assert new.quotas[key].own == pytest.approx(old.quotas[key].own)
     assert new.quotas[key].others == pytest.approx(old.quotas[key].others)
     actions = old.handle(pair.now, request("late", ring_size=2))  # the old one finishes its open requests
     assert sends(actions)
-    (row,) = handover.spent(old, before)
-    handover.add(new, pair.now, *row)
+    (row,) = handover.use_since(old, before)
+    handover.add_use(new, pair.now, *row)
     pair.epochs(3)
     own = new.quotas[key]
     seen = pair.live[1].quotas[key]
@@ -340,7 +340,7 @@
                 if more:
                     driver.add([*row[:4], more])
     (own,), (other,) = old.module.quotas.values(), new.module.quotas.values()
-    assert own.counts[0] == other.counts[0] == 3 * SCALE
+    assert own.counts[0] == other.counts[0] == 3 * COUNTS_PER_UNIT
     for one in scripted:
         one.at.loop.epoll.close()
 
@@ -351,16 +351,16 @@
         cold = i.BackendEntry("b1", "a", "std", 0, i.Availability.ACTIVE, 1.0, 5.0)
         gateway.handle(5.0, i.BackendsListed(i.ListKind.CHANGES, (cold,)))
     old.backends["b1"].cold_credit = 0.4
-    old.backends["b2"].suspect_since = 4.0
-    handover.absorb(new, json.loads(json.dumps(handover.export(old))))
+    old.backends["b2"].ejected_since = 4.0
+    handover.import_state(new, json.loads(json.dumps(handover.export_state(old))))
     assert new.backends["b1"].cold_credit == 0.4
-    assert new.avoided() == {"b2"}
+    assert new.ejected_backends() == {"b2"}
     served = [
         s for n in range(200) for s in sends(old.handle(6.0 + n / 100, request(f"r{n}", tenant=f"c{n}")))
     ]
     assert served
     assert all(send.backend != "b1" for send in served)
-    handover.resume(old)
+    handover.restore_cold_credit(old)
     assert old.backends["b1"].cold_credit == 0.0
 
 
@@ -371,11 +371,11 @@
     row[field] = value
     state = {"quotas": [row], "heard": {}, "backends": {}, "base": {}, "limit": 8.0, "busy": 0.0, "took": 1.0}
     try:
-        handover.absorb(gateway, state)
+        handover.import_state(gateway, state)
     except (KeyError, TypeError, ValueError):
         return
     for quota in gateway.quotas.values():
-        assert quota.place < quota.size <= 4
+        assert quota.index < quota.size <= 4
 
 
 # Sockets and descriptors.
--- a/tests/test_vast.py
+++ b/tests/test_vast.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from hoistfold import interface as i
-from hoistfold.brain import CHOICES, SHARERS, Gateway
+from hoistfold.gateway import MIN_SHARERS, MIN_SUBSET, Gateway
 from lab.vast import CORES, VIEW, Fleet, settings
 from tests.world import backend, listed, of, request, sealed, sends
 
@@ -29,7 +29,7 @@
 
 def near(gateway: Gateway) -> set[str]:
     """The backends it works with."""
-    return {b.entry.backend for b in gateway._nearest()}
+    return {b.entry.backend for b in gateway._subset()}
 
 
 @how(max_examples=25, deadline=None, derandomize=True)
@@ -38,7 +38,7 @@
     gateways, count = sizes
     names = [f"b{n}" for n in range(count)]
     uses = Counter(name for number in range(gateways) for name in near(told(gateways, names, number)))
-    reach = min(count, max(CHOICES, math.ceil(SHARERS / gateways * count)))
+    reach = min(count, max(MIN_SUBSET, math.ceil(MIN_SHARERS / gateways * count)))
     assert sum(uses.values()) == gateways * reach
     assert set(uses) == set(names)
     assert max(uses.values(), default=0) - min(uses.values(), default=0) <= 1
@@ -58,7 +58,7 @@
         gateway.handle(99.0 - age, listed(entry, kind=i.ListKind.CHANGES))
         gateway.now = 99.0
     doors = {n for n, gateway in enumerate(live) if cold in near(gateway)}
-    most = live[0]._doors(live[0].backends[cold])
+    most = live[0]._slow_start_sharers(live[0].backends[cold])
     assert len(doors) <= min(gateways, most)
     assert len(doors) >= min(gateways, int(most))
     assert users <= doors if len(users) <= most else doors < users  # nobody is passed over for another
@@ -142,7 +142,7 @@
         now += 1.0
         names = {f"b{turn}-{n}" for n in range(size)}
         gateway.handle(now, listed(*(backend(name) for name in sorted(names)), kind=i.ListKind.FULL))
-        assert set(gateway.backends) == names == {b.entry.backend for b in gateway.order}
+        assert set(gateway.backends) == names == {b.entry.backend for b in gateway.backend_order}
         for n in range(3):
             event = request(f"r{turn}-{n}", class_name="view", plan="full", ring_size=1)
             for send in sends(gateway.handle(now, event)):
@@ -181,7 +181,7 @@
     assert len(gateway.quotas) <= 3 * (256 // 19)
     event = request("r", class_name="view", plan="full", ring_size=1, tenant="honest")
     assert sends(gateway.handle(2.0, event))
-    assert VIEW.name in gateway.base
+    assert VIEW.name in gateway.baseline
     gateway.handle(60.0, i.TimerFired(0))
     gateway.handle(120.0, i.TimerFired(0))
-    assert len(gateway.quotas) == 0 or all(quota.open for quota in gateway.quotas.values())
+    assert len(gateway.quotas) == 0 or all(quota.in_flight for quota in gateway.quotas.values())
--- a/tests/test_witness.py
+++ b/tests/test_witness.py
@@ -7,7 +7,7 @@
 import pytest
 
 from hoistfold import interface as i
-from hoistfold.brain import IDLE_FOR, MOST
+from hoistfold.gateway import IDLE_QUOTA_SECONDS, MAX_PER_EPOCH
 from tests.world import BASIC, Pair, ended, of, request, sealed, sends, started
 
 
@@ -109,16 +109,16 @@
 
 def test_of_many_customers_an_epoch_looks_after_the_fullest_and_forgets_all_in_the_end() -> None:
     gateway = started(counter_reconciliation=True, gateways=2)
-    for n in range(4 * MOST):
-        units = 4.0 if n == 2 * MOST else 1.0
+    for n in range(4 * MAX_PER_EPOCH):
+        units = 4.0 if n == 2 * MAX_PER_EPOCH else 1.0
         event = request(f"r{n}", tenant=f"c{n}", units=units, ring_size=2)
         for send in sends(gateway.handle(0.0, event)):
             gateway.handle(0.0, ended(send, i.Outcome.OK))
     notes = of(gateway.handle(0.1, i.TimerFired(0)), i.UseReported)
-    assert len(notes) == MOST
+    assert len(notes) == MAX_PER_EPOCH
     assert notes[0].level > 0.3 > max(note.level for note in notes[1:])
-    gateway.handle(IDLE_FOR + 1, i.TimerFired(0))
-    assert (gateway.quotas, gateway.telling, gateway.touched) == ({}, {}, {})
+    gateway.handle(IDLE_QUOTA_SECONDS + 1, i.TimerFired(0))
+    assert (gateway.quotas, gateway.unreported, gateway.unreconciled) == ({}, {}, {})
 
 
 @pytest.mark.parametrize(("speaking", "fits"), [((1, 2), 7), ((1,), 4), ((), 3)])
--- a/tests/world.py
+++ b/tests/world.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from hoistfold import interface as i
-from hoistfold.brain import Gateway
+from hoistfold.gateway import Gateway
 
 READ = i.RequestClass("read", 1.0, 3.0, 1.0, 0.0, i.Effect.SAFE, i.DedupScope.ALL, 5.0, False, 0.0)
 BUY = i.RequestClass("buy", 3.0, 7.0, 5.0, 0.0, i.Effect.UNSAFE, i.DedupScope.ALL, 5.0, False, 0.0)
