--- a/hoistfold/interface.py
+++ b/hoistfold/interface.py
@@ -1,6 +1,6 @@
-"""What a gateway is told and what it may do: settings, events, actions and outcomes.
+"""Interface of the decision module: settings, events, actions and outcomes.
 
-All times are seconds. Requests, backends and customers are named by opaque strings.
+All times are in seconds. Requests, backends and tenants are identified by opaque strings.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class Effect(Enum):
-    """Whether a request may run more than once."""
+    """Whether a request may be executed more than once."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -18,7 +18,7 @@
 
 
 class DedupScope(Enum):
-    """The backends that drop a keyed request's repeats."""
+    """The backends that share deduplication of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -26,7 +26,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt, a probe or a counter call ended."""
+    """Result of an attempt, a probe or a counter call."""
 
     OK = "ok"
     ERROR = "error"
@@ -39,12 +39,12 @@
 
     @property
     def never_ran(self) -> bool:
-        """True when the outcome proves that the backend did not run the request."""
+        """Whether the outcome proves that the backend did not execute the request."""
         return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 
 class ListKind(Enum):
-    """What a backend list holds."""
+    """Contents of a backend list."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -52,7 +52,7 @@
 
 
 class Availability(Enum):
-    """What discovery says of a backend."""
+    """State of a backend as reported by discovery."""
 
     ACTIVE = "active"
     DRAINING = "draining"
@@ -60,7 +60,7 @@
 
 
 class SizeHint(Enum):
-    """What the size figure of a backend means."""
+    """Meaning of a backend's size."""
 
     NONE = "none"
     NOMINAL = "nominal"
@@ -69,7 +69,7 @@
 
 
 class Feedback(Enum):
-    """Where load reports arrive."""
+    """Channel on which load reports arrive."""
 
     NONE = "none"
     ANSWERS = "answers"
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A kind of request."""
+    """A class of requests with common targets and semantics."""
 
     name: str
     aim: float
@@ -94,7 +94,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """Quotas that hold for each customer over all gateways together; 0 means no such quota."""
+    """Quotas per tenant, enforced over all gateways together; 0 means no such quota."""
 
     name: str
     rate: float
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a gateway is handed at its start."""
+    """Configuration of a gateway."""
 
     number: int
     gateways: int
@@ -144,17 +144,15 @@
     late_fail_price: float
     probe_price: float
     peer_price: float
-    counter_reconciliation: bool = (
-        False  # use is noted for a second witness beside the ring, and heard from it
-    )
-    membership: bool = False  # MembershipChanged tells which gateways are there, as soon as that is known
-    may_use_counter: bool = False  # the counter service may be called
-    count_limit: float = 0.08  # seconds after which a call of it counts as unanswered
+    counter_reconciliation: bool = False  # a counter service confirms the use that is reported on the ring
+    membership: bool = False  # MembershipChanged reports which gateways are reachable
+    may_use_counter: bool = False
+    count_limit: float = 0.08  # timeout of a counter call
 
 
 @dataclass(slots=True, frozen=True)
 class BackendEntry:
-    """One line of the backend list."""
+    """One entry of the backend list."""
 
     backend: str
     zone: str
@@ -167,19 +165,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Started:
-    """The gateway begins, knowing nothing."""
+    """The gateway starts without any state."""
 
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """New settings: classes and the number of attempts may differ. What is open keeps its own class."""
+    """New request classes and number of attempts; open requests keep the class they arrived with."""
 
     settings: Settings
 
 
 @dataclass(slots=True, frozen=True)
 class BackendsListed:
-    """Discovery tells of backends."""
+    """Discovery has sent a list of backends."""
 
     kind: ListKind
     entries: tuple[BackendEntry, ...]
@@ -187,12 +185,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ListFailed:
-    """A call to discovery failed or the subscription broke."""
+    """A call to discovery failed or the subscription was closed."""
 
 
 @dataclass(slots=True, frozen=True)
 class RequestArrived:
-    """A client's try; one final answer is owed within time_left."""
+    """A client's request; exactly one final response must be sent within time_left."""
 
     request: str
     class_name: str
@@ -206,21 +204,21 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestCancelled:
-    """The client left; nothing more is owed."""
+    """The client has disconnected; no response is due any more."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer set by the gateway is due."""
+    """A timer set by the gateway has expired."""
 
     handle: int
 
 
 @dataclass(slots=True, frozen=True)
 class StreamStarted:
-    """A streamed answer has begun; the attempt belongs to the client."""
+    """A streamed response has started; the attempt is tied to the client from here on."""
 
     request: str
     attempt: int
@@ -230,7 +228,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """Bytes from another gateway."""
+    """Message from another gateway."""
 
     sender: int
     content: bytes
@@ -238,7 +236,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProbeEnded:
-    """The result of a probe."""
+    """Result of a probe."""
 
     backend: str
     outcome: Outcome
@@ -248,7 +246,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """The one outcome of an attempt; finished when the request has had its final answer."""
+    """Result of an attempt; `finished` is set once the request has its final response."""
 
     request: str
     backend: str
@@ -263,7 +261,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CounterAnswered:
-    """The answer of the counter service."""
+    """Response of the counter service."""
 
     name: int
     outcome: Outcome
@@ -273,9 +271,10 @@
 
 @dataclass(slots=True, frozen=True)
 class UseObserved:
-    """A second witness tells a member's running count for a customer, and its level as a part of the burst.
+    """Running use count of another ring member, as read from the counter service by reconciliation.
 
-    The place is that of the customer's ring; counts wrap as those of peer messages do.
+    `level` is that member's share of the window as a fraction of the burst. `ring_index` is its index in the
+    tenant's ring. Counts wrap like those in peer messages.
     """
 
     tenant_key: bytes
@@ -286,10 +285,11 @@
 
 @dataclass(slots=True, frozen=True)
 class MembershipChanged:
-    """Which gateways are there, by a view that they keep among themselves; without one, no such event comes.
+    """Current cluster membership. Not sent where no membership is kept.
 
-    `missing` are unreachable: dead, or cut off. `major`: this side may take over what is theirs, as no other
-    can. Cold backends are divided `among` these. `returned` have come, or come back, since the last event.
+    `unreachable` members are dead or partitioned. With `has_quorum` this side may take over their share; no
+    other side can have a quorum at the same time. Cold backends are divided among the `slow_start_members`.
+    `returned` members have joined or come back since the last event.
     """
 
     alive: frozenset[int]
@@ -319,7 +319,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Start an attempt; without a timeout it lasts until the client gives up."""
+    """Start an attempt; without a timeout it lasts until the client disconnects."""
 
     request: str
     backend: str
@@ -328,7 +328,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Abandon an attempt."""
 
     request: str
     attempt: int
@@ -336,30 +336,30 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: a retry is harmless."""
+    """Final response: the request can safely be retried."""
 
     request: str
     retry_after: float | None
-    reason: str = field(default="", compare=False)  # for the log alone; one of few words
+    reason: str = field(default="", compare=False)  # one of a few fixed words, for logs and metrics
 
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: nothing is promised."""
+    """Final response: the request may or may not have been executed."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Test a backend."""
+    """Send a health probe to a backend."""
 
     backend: str
 
 
 @dataclass(slots=True, frozen=True)
 class SendPeerMessage:
-    """A message to one gateway, or to all when peer is None."""
+    """Send a message to one gateway, or to all when `peer` is None."""
 
     peer: int | None
     content: bytes
@@ -383,7 +383,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a TimerFired."""
+    """Request a TimerFired event."""
 
     delay: float
     handle: int
@@ -391,28 +391,29 @@
 
 @dataclass(slots=True, frozen=True)
 class FetchList:
-    """Ask discovery once for the whole list."""
+    """Fetch the whole backend list from discovery once."""
 
 
 @dataclass(slots=True, frozen=True)
 class Subscribe:
-    """Ask discovery for changes from now on, or for no more of them."""
+    """Start or stop the subscription to changes of the backend list."""
 
     wanted: bool
 
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """A line for those on call."""
+    """Write a line to the operators' log."""
 
     text: str
 
 
 @dataclass(slots=True, frozen=True)
 class UseReported:
-    """This gateway's own running count for a customer, for a second witness.
+    """This gateway's running use count for a tenant, for reconciliation through the counter service.
 
-    `level` is its own part of the window, `fullness` that of all, both as parts of the burst.
+    `level` is the gateway's own share of the window and `total_level` that of all members, both as fractions
+    of the burst.
     """
 
     tenant_key: bytes
--- a/hoistfold/state.py
+++ b/hoistfold/state.py
@@ -1,4 +1,4 @@
-"""What a gateway keeps; the decisions on it are all in brain.py."""
+"""State of a gateway and its queries and updates; the decisions are made in gateway.py."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 class MessageKind(IntEnum):
-    """What one entry of a peer message says."""
+    """Kind of an entry in a peer message."""
 
-    REPORT = 0  # a member's use
-    ACQUIRE = 1  # for units of the quota, and of the ceiling's part that the receiver grants from
-    REPLY = 2  # the answer: what was granted, and the total with it
-    QUERY = 3  # for the total alone, where the one asked first may not know it
+    REPORT = 0  # use by one ring member
+    ACQUIRE = 1  # requests units of the quota, and of the part of the ceiling that the receiver grants from
+    REPLY = 2  # granted units and the quota's total
+    QUERY = 3  # requests the total only, where the coordinator that was asked first may not know it yet
 
 
 @dataclass(slots=True)
@@ -39,56 +39,56 @@
 
     @property
     def may_have_run(self) -> bool:
-        """False only when the outcome proves that it did not run."""
+        """False only if the outcome proves that the attempt was not executed."""
         return self.outcome is None or not self.outcome.never_ran
 
 
 @dataclass(slots=True)
 class Request:
-    """A request that is owed its final answer."""
+    """A request without its final response."""
 
     name: str
     kind: i.RequestClass
     quota: Quota
     deadline: float
-    late: bool  # can hardly be served within the aim
+    late: bool  # unlikely to be answered within its aim
     units: float
-    over_quota: bool = False  # beyond its quota: served only from room that nobody else needs
-    ceiling_granted: bool = False  # a coordinator granted its units of the ceiling
+    over_quota: bool = False  # served only from capacity that no request within its quota needs
+    ceiling_granted: bool = False  # by a coordinator, for all units of the request
     attempts: list[Attempt] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Backend:
-    """What this gateway has seen of a backend."""
+    """State of a backend as observed by this gateway."""
 
     entry: i.BackendEntry
     started_at: float
-    name_hash: int  # of its name, the same for all gateways
+    name_hash: int  # equal on all gateways
     cold_credit_at: float
-    latency_ratio: float = 1.0  # latency against what the class usually takes
-    latency_ratio_at: float = 0.0  # when stretch was learnt last
+    latency_ratio: float = 1.0  # observed latency relative to the baseline of the request class
+    latency_ratio_at: float = 0.0
     last_answer_at: float = -math.inf
     pending: dict[tuple[str, int], Attempt] = field(default_factory=dict)
     ejected_since: float | None = None
     next_trial_at: float = 0.0
-    trial_interval: float = 0.0  # until the trial after that
-    broken_connections: int = 0  # connections that broke since it answered last
-    errors: int = 0  # errors since then
+    trial_interval: float = 0.0
+    broken_connections: int = 0  # since the last response
+    errors: int = 0  # since the last response
     cold_credit: float = 0.0
 
     @property
     def active(self) -> bool:
-        """True unless the list says that it drains."""
+        """False while the list reports the backend as draining."""
         return self.entry.availability is i.Availability.ACTIVE
 
     @property
     def in_flight(self) -> int:
-        """Attempts out at once from here."""
+        """Attempts of this gateway that have no outcome yet."""
         return len(self.pending)
 
     def shares_dedup_with(self, other: Backend, scope: i.DedupScope) -> bool:
-        """True when both drop repeats of the same keyed requests."""
+        """Whether both backends deduplicate repeats of the same keyed request."""
         if scope is i.DedupScope.ALL or self is other:
             return True
         return bool(getattr(self.entry, scope.value) == getattr(other.entry, scope.value))
@@ -96,82 +96,88 @@
 
 @dataclass(slots=True)
 class Quota:
-    """One customer's place in the ring: the window's total, which drains at the plan's rate."""
+    """One tenant's quota: the total of a window that drains at the plan's rate."""
 
     key: bytes
     plan: i.Plan
-    first: int  # the ring is this gateway and the next ones, so many
-    size: int
-    index: int  # this gateway's own
-    drained_at: float  # when it was drained last
-    used_at: float  # when a request or a peer named it last
-    counts: dict[int, int] = field(default_factory=dict)  # running, by ring place, merged by maximum
+    first: int  # gateway number of the ring's first member; the others follow by number
+    size: int  # members of the ring
+    index: int  # of this gateway in the ring
+    drained_at: float
+    used_at: float  # last mention by a request or a peer
+    # running use counts by ring index, merged by maximum
+    counts: dict[int, int] = field(default_factory=dict)
+    # Units of the window, used by this gateway and by the other members.
     own: float = 0.0
     others: float = 0.0
     ceiling_tokens: float = 0.0
     in_flight: int = 0
     others_rate: float = 0.0
-    unreported: dict[int, int] = field(default_factory=dict)  # places still to be told, and how
-    # Of a long ring, where coordinators keep the total:
-    acquiring: Request | None = None  # waits for their answers
+    # ring indices whose counts are still to be reported, and how
+    unreported: dict[int, int] = field(default_factory=dict)
+    # Long rings, where coordinators keep the total:
+    acquiring: Request | None = None  # request that waits for a grant
     acquired_at: float = 0.0
-    unresponsive_coordinators: list[int] = field(default_factory=list)  # that left the request unanswered
-    queried: bool = False  # the next coordinator was asked for its total too
-    queued: list[Request] = field(default_factory=list)  # requests behind it
-    awaiting_reply: list[int] = field(default_factory=list)  # coordinators whose answer is due
-    grantor: int = -1  # the one of them that grants units of the ceiling
-    granted_units: float = 0.0  # units that it grants
-    ceiling_granted: bool = False  # by the grantor
-    total_known: bool = False  # a coordinator was heard
-    total_at: float = -math.inf  # when
-    observed_others_rate: float = 0.0  # units a second that the other members were seen to use
-    own_rate: float = 0.0  # units a second that this member uses
-    lease: float = 0.0  # units granted ahead
+    # that left the current request unanswered
+    unresponsive_coordinators: list[int] = field(default_factory=list)
+    queried: bool = False  # a second coordinator was asked for its total
+    queued: list[Request] = field(default_factory=list)  # requests behind the one that waits
+    awaiting_reply: list[int] = field(default_factory=list)  # coordinators that owe a reply
+    grantor: int = -1  # coordinator that grants units of the ceiling
+    granted_units: float = 0.0
+    ceiling_granted: bool = False
+    total_known: bool = False  # a coordinator has replied
+    total_at: float = -math.inf  # time of the last total
+    observed_others_rate: float = 0.0  # units per second, by the other members
+    own_rate: float = 0.0  # units per second, by this member
+    lease: float = 0.0  # units granted in advance
     lease_expires_at: float = -math.inf
-    member_use: float = 0.0  # of the window by the others, as they told this gateway as a coordinator
-    grantable_ceiling: float = 0.0  # units of the ceiling that this gateway may grant as a coordinator
-    granted_ceiling_share: float = 0.0  # of the ceiling, from which it grants
-    member_ceiling_share: float = 1.0  # of the ceiling, from which members take without a grant
+    # units of the window, as the other members reported them to this gateway as coordinator
+    member_use: float = 0.0
+    grantable_ceiling: float = 0.0  # units of the ceiling that this gateway may still grant as coordinator
+    granted_ceiling_share: float = 0.0  # of the ceiling, from which this gateway grants
+    member_ceiling_share: float = 1.0  # of the ceiling, which members use without a grant
     refusals: int = 0
     blocked_until: float = 0.0
-    silent_members: int = 0  # other members that only the second witness tells of: each is taken to have used
-    since_observed: float = 0.0  # as much as we since it told of another member last, so many units
-    isolated: bool = False  # nobody at all was heard of when it was last asked for
-    observed_at: float = -math.inf  # when the second witness told of another member last
-    counter_level: float = 0.0  # of the whole store, as the counter told last
-    counter_level_at: float = -math.inf  # when that was
-    uncounted_units: float = 0.0  # units let in of which the counter was not told
-    # Of burst and rate, for those of the ring that hear each other: each unit counts for so many times more.
+    # unreachable members known through reconciliation only; each is assumed to use as much as this gateway
+    silent_members: int = 0
+    since_observed: float = 0.0  # units used here since reconciliation last reported another member
+    isolated: bool = False  # no other gateway was reachable at the last request
+    observed_at: float = -math.inf  # last report on another member by reconciliation
+    counter_level: float = 0.0  # level of the whole window in the last answer of the counter service
+    counter_level_at: float = -math.inf
+    uncounted_units: float = 0.0  # admitted without a call of the counter service, and not added to it yet
+    # Part of burst and rate that this side of a partition may use. Use is scaled up by its inverse.
     share: float = 1.0
-    share_limited_at: float = -math.inf  # when no larger part was due last
+    share_limited_at: float = -math.inf  # last time at which no larger share was due
 
     @property
     def utilization(self) -> float:
-        """What is used of the window, as a part of the burst."""
+        """Used fraction of the burst."""
         return (self.own + self.others) / self.plan.burst
 
     def fits_one_per_member(self, units: float) -> bool:
-        """Whether a request of so many units from each member fits at once; an unused window holds one."""
+        """Whether one such request per member still fits; an unused window always fits one."""
         used = self.own + self.others
         return not used or used + units * self.size <= self.plan.burst
 
-    def set_share(self, part: float, units: float) -> None:
-        """Takes another part of the quota, of which as much counts as used as of the one before.
+    def set_share(self, share: float, units: float) -> None:
+        """Changes the usable part of the quota and keeps the used fraction of it.
 
-        Of a part under one request the window is that request of so many units: one has to fit.
+        A part that is smaller than one request is treated as large enough for one request of `units`.
         """
         burst = self.plan.burst
-        scale = max(burst, units / part) / max(burst, units / self.share)
-        self.share, self.own, self.others = part, self.own * scale, self.others * scale
+        scale = max(burst, units / share) / max(burst, units / self.share)
+        self.share, self.own, self.others = share, self.own * scale, self.others * scale
 
     def min_counter_level(self, now: float) -> float:
-        """What must at least be used of the whole store, by what the counter told last."""
+        """Lower bound of the current level, derived from the last answer of the counter service."""
         return self.counter_level - self.plan.rate * (now - self.counter_level_at)
 
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """One customer's part of a peer message."""
+    """One tenant's entry in a peer message."""
 
     key: bytes
     plan: int
@@ -186,65 +192,68 @@
 
 @dataclass(slots=True)
 class Peer:
-    """What this gateway has heard of another one."""
+    """What is known of another gateway."""
 
     last_seen: float = -math.inf
     skip_until: float = 0.0
 
 
 def primary_coordinator_index(quota: Quota) -> int:
-    """The place of the first coordinator in a long ring; spread by the tenant's key."""
+    """Ring index of the primary coordinator; the tenant's key spreads the load over the members."""
     return int.from_bytes(quota.key, "big") % quota.size
 
 
 class GatewayState:
-    """The tables that a gateway starts with, all empty, and what is read from them without a decision."""
+    """The state of a gateway with its queries and updates; starts empty."""
 
     def __init__(self, settings: i.Settings) -> None:
         self.settings = settings
         self.classes = {kind.name: kind for kind in settings.classes}
-        self.baseline = {kind.name: kind.aim / 8 for kind in settings.classes}  # usual latency, learnt
+        # latency per request class, learned
+        self.baseline = {kind.name: kind.aim / 8 for kind in settings.classes}
         self.plans = {plan.name: plan for plan in settings.plans}
         self.now = 0.0
         self.started_at = 0.0
         self.actions: list[i.Action] = []
         self.backends: dict[str, Backend] = {}
-        self.backend_order: list[Backend] = []  # the active ones, in this gateway's own order
-        self.subset_size = 1  # backends that this gateway works with
-        self.sharers = 1.0  # gateways that work with one warm backend
+        self.backend_order: list[Backend] = []  # active backends, in this gateway's order of preference
+        self.subset_size = 1  # backends that this gateway sends to
+        self.sharers = 1.0  # gateways per warm backend
         self.limit_adjusted_at = 0.0
-        self.warm_load = 1.0  # seconds of usual work a second that a warm backend was seen to take at ease
-        self.avg_in_flight = 0.0  # attempts out, on average over the last requests
-        self.capacity = 0.0  # attempts that may be out at once from here
+        # learned load of a warm backend that is not overloaded, in seconds of baseline work per second
+        self.warm_load = 1.0
+        self.avg_in_flight = 0.0  # attempts in flight, averaged over recent requests
+        self.capacity = 0.0  # attempts that this gateway may have in flight
         self.requests: dict[str, Request] = {}
         self.usual_timeouts: dict[str, UsualTimeout] = {}
         self.open_attempts: dict[tuple[str, int], Attempt] = {}
         self.timers: dict[int, Request] = {}
         self.last_timer_handle = 0
         self.quotas: dict[bytes, Quota] = {}
-        self.unreported: dict[bytes, Quota] = {}  # those with places still to be told
-        self.unreconciled: dict[bytes, Quota] = {}  # those whose use is noted for the second witness
+        self.unreported: dict[bytes, Quota] = {}  # quotas with counts to report to peers
+        self.unreconciled: dict[bytes, Quota] = {}  # quotas to report to the counter service
         self.next_sweep_at = 0.0
         self.peers = {n: Peer() for n in range(settings.gateways) if n != settings.number}
-        self.epoch = 0.1  # seconds between tellings
-        self.long_ring = False
-        # the counter keeps the totals where no peer may be told
+        self.epoch = 0.1  # seconds between reports to peers
+        self.long_ring = False  # coordinators hold the totals, as a round of the ring outlasts a window
+        # The counter service holds the totals where peer messages are not allowed.
         self.uses_counter = (
             settings.may_use_counter
             and not settings.may_message_peers
             and not settings.counter_reconciliation
         )
-        self.membership: i.MembershipChanged | None = None  # where a view is kept
-        self.first_seen_at = math.inf  # when any other gateway was
-        self.took_over = False  # from another process of this gateway, with all that it knew
-        self.partition = Partition()  # by the membership, and by who is heard
-        self.membership_at = -math.inf  # when it was told last
-        self.learning_until = -math.inf  # until then the others' use is not known
-        self.slow_start_members = frozenset(range(settings.gateways))  # by whom cold backends are divided
-        self.slow_start_ranks: dict[
-            int, float
-        ] = {}  # at backends by their place in the order, where some are not there
-        # neighbours by number serve the same customers: a step without common divisor sets them apart
+        self.membership: i.MembershipChanged | None = None  # None until the first event
+        self.first_seen_at = math.inf  # first message from any other gateway
+        self.took_over = False  # imported the state of another process of this gateway
+        self.partition = Partition()
+        self.membership_at = -math.inf  # last membership event
+        self.learning_until = -math.inf  # until then the use by other members is unknown
+        # gateways that cold backends are divided among
+        self.slow_start_members = frozenset(range(settings.gateways))
+        # by position in the backend order, cached while some members are missing
+        self.slow_start_ranks: dict[int, float] = {}
+        # Gateways with neighboring numbers serve the same tenants; a stride coprime to the gateway count
+        # gives them different backends.
         count = settings.gateways
         self.subset_stride = next(
             n for n in range(math.ceil(0.618 * count), count + 2) if math.gcd(n, count) == 1
@@ -252,60 +261,63 @@
         self.subset_index = settings.number * self.subset_stride % count
 
     def quota_of(self, key: bytes, plan: i.Plan, first: int, size: int) -> Quota:
-        """A customer's quota, a new one where there is none."""
+        """Returns a tenant's quota, creating it if needed."""
         if key not in self.quotas:
-            place = (self.settings.number - first) % self.settings.gateways
-            quota = Quota(key, plan, first, size, place, self.now, self.now, {place: 0})
-            quota.isolated = self.uses_counter  # what is its own drains at an even share
+            index = (self.settings.number - first) % self.settings.gateways
+            quota = Quota(key, plan, first, size, index, self.now, self.now, {index: 0})
+            quota.isolated = self.uses_counter  # own use drains at an even share of the rate
             if self.long_ring:
-                parts = ceiling_shares(plan)
-                quota.member_ceiling_share = parts.members
-                quota.granted_ceiling_share = parts.granted_by(
-                    (place - primary_coordinator_index(quota)) % size
+                shares = ceiling_shares(plan)
+                quota.member_ceiling_share = shares.members
+                quota.granted_ceiling_share = shares.granted_by(
+                    (index - primary_coordinator_index(quota)) % size
                 )
-                # nothing was let in for it since the start, or since it was forgotten
+                # Refills for the time since the start, as nothing was admitted meanwhile.
                 self.refill_ceiling(quota, self.now - self.started_at)
             self.quotas[key] = quota
         return self.quotas[key]
 
-    def members(self, quota: Quota, place: int) -> list[int]:
-        """In the ring's order from a place on; it is that of the numbers, wherever its set begins."""
-        places = ((place + step) % quota.size for step in range(quota.size))
-        return [(quota.first + p) % self.settings.gateways for p in places]
+    def members(self, quota: Quota, start: int) -> list[int]:
+        """Members of a tenant's ring in ring order, from a ring index on."""
+        indices = ((start + step) % quota.size for step in range(quota.size))
+        return [(quota.first + index) % self.settings.gateways for index in indices]
 
     def members_between(self, quota: Quota, sender: int) -> list[int]:
-        """The members of a ring that come after the sender and before this gateway."""
-        place = (sender - quota.first) % self.settings.gateways
-        places = range(place + 1, place + 1 + (quota.index - place - 1) % quota.size)
-        return [(quota.first + at % quota.size) % self.settings.gateways for at in places]
+        """Ring members after the sender and before this gateway."""
+        sender_index = (sender - quota.first) % self.settings.gateways
+        indices = range(sender_index + 1, sender_index + 1 + (quota.index - sender_index - 1) % quota.size)
+        return [(quota.first + index % quota.size) % self.settings.gateways for index in indices]
 
-    def slow_start_rank(self, n: int) -> float:
-        """How many gateways come before this one at the backend in place n of its order."""
+    def slow_start_rank(self, position: int) -> float:
+        """Number of gateways that precede this one in the slow start of a backend in its order."""
         count, size = self.settings.gateways, len(self.backend_order)
-        mine = (n + 1) * count - 1 - self.subset_index * size % count
+        offset = (position + 1) * count - 1 - self.subset_index * size % count
         if len(self.slow_start_members) == count:
-            return mine / size
-        if n not in self.slow_start_ranks:
-            ways = (
+            return offset / size
+        if position not in self.slow_start_ranks:
+            distances = (
                 (self.subset_index - other * self.subset_stride) * size for other in self.slow_start_members
             )
-            self.slow_start_ranks[n] = sum((mine + way) % (size * count) < mine for way in ways)
-        return self.slow_start_ranks[n]
+            self.slow_start_ranks[position] = sum(
+                (offset + distance) % (size * count) < offset for distance in distances
+            )
+        return self.slow_start_ranks[position]
 
     def reachable(self, number: int) -> bool:
-        """Four epochs without a message, or a total not sent back, and a member is skipped."""
+        """Whether a member was seen within four epochs; in long rings, whether it is not being skipped."""
         peer = self.peers[number]
         return self.now >= peer.skip_until if self.long_ring else self.now - peer.last_seen < 4 * self.epoch
 
     def _silent_members_are_dead(self) -> bool:
-        """Another gateway is heard, so this one is not cut off, and it has listened long enough."""
+        """Another gateway is reachable, so this one is not isolated, and the learning period is over."""
         return self.now >= self.learning_until and any(self.reachable(number) for number in self.peers)
 
     def _isolated_share(self, quota: Quota) -> float:
-        """Of an even share, what one that hears nobody any more may use: what all may use stays one quota.
+        """Fraction of its even share that a gateway may use while it can reach no other one.
 
-        The others fell silent within four epochs, and what they used in that time is taken off. Nothing is
-        known before a gateway has listened that long; where a second witness is silent too, it is cut off.
+        It excludes what the others may have used in the four epochs until they were found unreachable, so
+        that the total stays within the quota. 0 during the learning period, and where counter reconciliation
+        is silent too, since the gateway is then partitioned.
         """
         plan, cut_off = quota.plan, self.settings.counter_reconciliation
         if not quota.isolated or not plan.rate or cut_off or self.now < self.learning_until:
@@ -313,80 +325,84 @@
         return 1 - 4 * self.epoch * plan.rate / plan.burst
 
     def used_classes(self) -> set[str]:
-        """The classes of what is open or still out."""
+        """Names of the classes of open requests and attempts."""
         requests = {request.kind.name for request in self.requests.values()}
         return requests | {attempt.kind.name for attempt in self.open_attempts.values()}
 
     def ejected_backends(self) -> set[str]:
-        """The backends that are suspected; what merely lies outside this gateway's reach is not."""
+        """Backends ejected by outlier detection; backends outside this gateway's subset are not included."""
         return {name for name, backend in self.backends.items() if backend.ejected_since is not None}
 
     def _warm_share(self, backend: Backend) -> float:
-        """The part of its capacity that a backend surely has by now."""
+        """Fraction of its capacity that a starting backend is assumed to have reached."""
         s, age = self.settings, max(0.0, self.now - backend.started_at)
         return 1.0 if age >= s.cold_time else s.cold_from + (1 - s.cold_from) * age / s.cold_time
 
     def _latency_ratio(self, backend: Backend) -> float:
-        """What was seen of it loses its weight: one that is avoided shows nothing new."""
+        """Decays towards 1, since an ejected backend yields no new measurements."""
         return 1.0 + (backend.latency_ratio - 1.0) * math.exp(
             (backend.latency_ratio_at - self.now) / LATENCY_DECAY_SECONDS
         )
 
     def ordered_backends(self, active: list[Backend]) -> list[Backend]:
-        """All of them from this gateway's place on: as many gateways begin at each, and rooms take turns."""
-        rooms: dict[str, list[Backend]] = {}
+        """All backends, interleaved by zone; the gateways start at offsets that spread evenly over them."""
+        zones: dict[str, list[Backend]] = {}
         for backend in sorted(active, key=lambda b: (b.name_hash, b.entry.backend)):
-            rooms.setdefault(backend.entry.zone, []).append(backend)
-        placed = [((n + 0.5) / len(room), zone, n) for zone, room in rooms.items() for n in range(len(room))]
-        ring = [rooms[zone][n] for _, zone, n in sorted(placed)]
-        begin = self.subset_index * len(ring) // self.settings.gateways
-        return ring[begin:] + ring[:begin]
-
-    def _is_late(self, kind: i.RequestClass, left: float) -> bool:
-        """Its client has waited so long, or waits for so short, that an answer can hardly be in time."""
+            zones.setdefault(backend.entry.zone, []).append(backend)
+        positions = [
+            ((n + 0.5) / len(group), zone, n) for zone, group in zones.items() for n in range(len(group))
+        ]
+        interleaved = [zones[zone][n] for _, zone, n in sorted(positions)]
+        start = self.subset_index * len(interleaved) // self.settings.gateways
+        return interleaved[start:] + interleaved[:start]
+
+    def _is_late(self, kind: i.RequestClass, time_left: float) -> bool:
+        """Whether the client has waited too long, or its timeout is too short, for an answer in time."""
         usual = self.usual_timeouts.setdefault(kind.name, UsualTimeout(kind.deadline))
-        waited = usual.observe(left)
-        hasty = left < MIN_TIMEOUT_LATENCIES * self.baseline[kind.name]
-        return hasty or waited > 0 and waited + self.baseline[kind.name] > kind.aim
+        waited = usual.observe(time_left)
+        impatient = time_left < MIN_TIMEOUT_LATENCIES * self.baseline[kind.name]
+        return impatient or waited > 0 and waited + self.baseline[kind.name] > kind.aim
 
     def set_timer(self, delay: float, request: Request) -> None:
         self.last_timer_handle += 1
         self.timers[self.last_timer_handle] = request
         self.actions.append(i.SetTimer(max(0.0, delay), self.last_timer_handle))
 
-    def _queue_report(self, quota: Quota, place: int, times: int) -> None:
-        """A place's count is to be told: twice, so that one lost message does no harm."""
+    def _queue_report(self, quota: Quota, index: int, report: int) -> None:
+        """Queues the report of a member's count. It is sent twice to tolerate one lost message."""
         if quota.size > 1 and quota.plan.rate and not self.long_ring:
-            quota.unreported[place], self.unreported[quota.key] = times, quota
-
-    def merge(self, quota: Quota, place: int, count: int, level: int) -> None:
-        """Counts only grow, so late, repeated and reordered messages change nothing."""
-        first = place == quota.index or place not in quota.counts
-        more = (count - quota.counts.get(place, max(0, count - min(level, 0x7FFF)))) & 0xFFFF  # counts wrap
-        if more > 0x7FFF and place != quota.index:
-            self._queue_report(quota, place, REPORT_TO_OWNER)  # its member knows less than we do: tell it
-            more = 0
-        if 0 < more <= 0x7FFF:
-            # an earlier life's count that comes back: this life's use goes on top
-            quota.counts[place] = (count + (place == quota.index) * quota.counts.get(place, 0)) & 0xFFFF
-            # the window holds no more than the level, all that is heard of for the first time together
-            most = max(quota.others, level / COUNTS_PER_UNIT) if first else math.inf
-            quota.others = min(quota.others + min(more, level) / COUNTS_PER_UNIT / quota.share, most)
-            quota.others_rate += more / COUNTS_PER_UNIT / 2
-            self._queue_report(quota, place, REPORT_TWICE)
+            quota.unreported[index], self.unreported[quota.key] = report, quota
+
+    def merge(self, quota: Quota, index: int, count: int, level: int) -> None:
+        """Merges a running count. Counts only grow, so late, repeated or reordered messages are harmless."""
+        first = index == quota.index or index not in quota.counts
+        # Counts wrap at 16 bits.
+        increase = (count - quota.counts.get(index, max(0, count - min(level, 0x7FFF)))) & 0xFFFF
+        if increase > 0x7FFF and index != quota.index:
+            # the member has lost its own count: report it back
+            self._queue_report(quota, index, REPORT_TO_OWNER)
+            increase = 0
+        if 0 < increase <= 0x7FFF:
+            # A count from an earlier boot of this gateway: the use since the start is added to it.
+            quota.counts[index] = (count + (index == quota.index) * quota.counts.get(index, 0)) & 0xFFFF
+            # The window holds no more than the level, so all first reports together are limited to it.
+            limit = max(quota.others, level / COUNTS_PER_UNIT) if first else math.inf
+            quota.others = min(quota.others + min(increase, level) / COUNTS_PER_UNIT / quota.share, limit)
+            quota.others_rate += increase / COUNTS_PER_UNIT / 2
+            self._queue_report(quota, index, REPORT_TWICE)
 
     def _is_valid_entry(self, sender: int, entry: Entry) -> bool:
-        """True for what can be of a ring that the sender and this gateway are members of."""
+        """Whether the entry belongs to a ring that both the sender and this gateway are members of."""
         gateways, plans = self.settings.gateways, self.settings.plans
-        places = [(number - entry.first) % gateways for number in (self.settings.number, sender)]
-        if entry.plan >= len(plans) or max(*places, entry.index) >= entry.size or entry.size > gateways:
+        indices = [(number - entry.first) % gateways for number in (self.settings.number, sender)]
+        if entry.plan >= len(plans) or max(*indices, entry.index) >= entry.size or entry.size > gateways:
             return False
         known = self.quotas.get(entry.key)
-        ring = known is None or (known.first, known.size) == (entry.first, entry.size)
-        return ring and plans[entry.plan].rate > 0
+        same_ring = known is None or (known.first, known.size) == (entry.first, entry.size)
+        return same_ring and plans[entry.plan].rate > 0
 
     def _record_use(self, quota: Quota, units: float, ceiling_granted: bool = False) -> None:
-        """Units that are sent on, in all that keeps account of them."""
+        """Accounts for units that were sent to a backend."""
         quota.own += units / quota.share
         quota.since_observed += units
         quota.own_rate += units / 2
@@ -396,36 +412,37 @@
             self.unreconciled[quota.key] = quota
 
     def _drain(self, quota: Quota) -> None:
-        """The window slides: the total drains at the rate, each part in its proportion, alone an even one."""
-        passed, quota.drained_at = self.now - quota.drained_at, self.now
+        """Drains the window at the plan's rate, in proportion to each part; an even share while isolated."""
+        elapsed, quota.drained_at = self.now - quota.drained_at, self.now
         total, plan = max(quota.own + quota.others, quota.isolated * quota.size * quota.own), quota.plan
-        keep = max(0.0, 1 - plan.rate * passed / total) if total > 0 else 0.0
-        known = quota.own + quota.member_use
-        quota.member_use *= max(0.0, 1 - plan.rate * passed / known) if known > 0 else 0.0
-        quota.own, quota.others = quota.own * keep, quota.others * keep
-        quota.others_rate *= math.exp(-passed / 2)
-        quota.own_rate *= math.exp(-passed / 2)
-        self.refill_ceiling(quota, passed)
+        factor = max(0.0, 1 - plan.rate * elapsed / total) if total > 0 else 0.0
+        known_use = quota.own + quota.member_use
+        quota.member_use *= max(0.0, 1 - plan.rate * elapsed / known_use) if known_use > 0 else 0.0
+        quota.own, quota.others = quota.own * factor, quota.others * factor
+        quota.others_rate *= math.exp(-elapsed / 2)
+        quota.own_rate *= math.exp(-elapsed / 2)
+        self.refill_ceiling(quota, elapsed)
 
     def refill_ceiling(self, quota: Quota, seconds: float) -> None:
-        """The ceiling's store, in the part that members take from alone and the part that is granted here."""
+        """Refills the token buckets of the ceiling: the members' part and the part that is granted here."""
         plan = quota.plan
-        most, gained = plan.ceiling_burst, plan.ceiling_rate * seconds
+        burst, refill = plan.ceiling_burst, plan.ceiling_rate * seconds
         quota.ceiling_tokens = min(
-            quota.member_ceiling_share * most, quota.ceiling_tokens + quota.member_ceiling_share * gained
+            quota.member_ceiling_share * burst, quota.ceiling_tokens + quota.member_ceiling_share * refill
         )
         quota.grantable_ceiling = min(
-            quota.granted_ceiling_share * most, quota.grantable_ceiling + quota.granted_ceiling_share * gained
+            quota.granted_ceiling_share * burst,
+            quota.grantable_ceiling + quota.granted_ceiling_share * refill,
         )
 
-    def _most_utilized(self, quotas: dict[bytes, Quota], most: int) -> list[Quota]:
-        fullest = heapq.nlargest(most, quotas.values(), key=lambda q: q.utilization)
-        for quota in fullest:
+    def _most_utilized(self, quotas: dict[bytes, Quota], limit: int) -> list[Quota]:
+        selected = heapq.nlargest(limit, quotas.values(), key=lambda q: q.utilization)
+        for quota in selected:
             self._drain(quota)
-        return sorted(fullest, key=lambda q: q.utilization, reverse=True)
+        return sorted(selected, key=lambda q: q.utilization, reverse=True)
 
     def _evict_idle(self, idle_for: float) -> None:
-        """Entries that nobody used for so long, looked for now and then."""
+        """Removes quotas that were not used for `idle_for` seconds."""
         if self.now >= self.next_sweep_at:
             self.next_sweep_at = self.now + idle_for / 10
             kept = {k: q for k, q in self.quotas.items() if self.now - q.used_at < idle_for or q.in_flight}
@@ -433,16 +450,16 @@
             self.unreconciled = {k: q for k, q in self.unreconciled.items() if k in kept}
 
     def _settings_changed(self, event: i.SettingsChanged) -> None:
-        """What is open keeps its own class, and what was learnt stays as long as something needs it."""
+        """Replaces the request classes; baselines are kept while a request or attempt still needs them."""
         self.settings, self.usual_timeouts = event.settings, {}
         self.classes = {kind.name: kind for kind in event.settings.classes}
-        fresh = {kind.name: kind.aim / 8 for kind in event.settings.classes}
-        self.baseline = fresh | {
-            n: usual for n, usual in self.baseline.items() if n in fresh.keys() | self.used_classes()
+        initial = {kind.name: kind.aim / 8 for kind in event.settings.classes}
+        self.baseline = initial | {
+            n: usual for n, usual in self.baseline.items() if n in initial.keys() | self.used_classes()
         }
 
     def _stream_started(self, event: i.StreamStarted) -> None:
-        """The answer belongs to the client from now on, and its backend answers."""
+        """Ties the attempt to the client; the started response shows that the backend is alive."""
         self.requests.pop(event.request, None)
         if attempt := self.open_attempts.get((event.request, event.attempt)):
             attempt.backend.pending.pop((event.request, event.attempt), None)
