--- a/hoistfold/adapter.py
+++ b/hoistfold/adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's wire to the interface and back; it decides nothing."""
+"""Translates between the simulator's wire format and the module's interface."""
 
 from __future__ import annotations
 
@@ -40,40 +40,40 @@
 
 
 class MalformedError(ValueError):
-    """The wire carried something that is not on its page."""
+    """Input that does not conform to the wire format."""
 
 
 def seconds(text: str | float) -> float:
-    """Microseconds of the wire as seconds."""
+    """Converts microseconds to seconds."""
     return int(text) / 1e6
 
 
 def micros(value: float) -> int:
-    """Seconds as whole microseconds of the wire."""
+    """Converts seconds to whole microseconds."""
     return round(value * 1e6)
 
 
 def read_flag(text: str) -> bool:
-    """A wire bool."""
+    """Parses a bool."""
     if text not in ("0", "1"):
         raise MalformedError(f"'{text}' is not a bool")
     return text == "1"
 
 
 def read_report(text: str) -> tuple[float, ...]:
-    """A load report; empty where there is none."""
+    """Parses a load report; empty if there is none."""
     return tuple(float(value) for value in text.split(",")) if text not in ("", "-") else ()
 
 
 def read_line(line: str) -> tuple[str, Fields]:
-    """A line's name and fields; Info and BodyText run to the end of the line."""
+    """Splits a line into name and fields; Info runs to the end of the line."""
     head, mark, tail = line.partition(" Info=")
     name, *parts = head.split(" ")
     fields: Fields = {}
     for part in parts:
         key, equals, value = part.partition("=")
         if not equals:
-            raise MalformedError(f"'{part}' in {name} is not name=value")
+            raise MalformedError(f"'{part}' in {name} is not of the form name=value")
         fields[key] = value
     if mark:
         fields["Info"] = tail
@@ -81,7 +81,7 @@
 
 
 def read_class(raw: dict[str, Any]) -> i.RequestClass:
-    """One entry of Classes."""
+    """Parses an entry of Classes."""
     return i.RequestClass(
         name=raw["Name"],
         aim=seconds(raw["AimUs"]),
@@ -97,7 +97,7 @@
 
 
 def read_plan(raw: dict[str, Any]) -> i.Plan:
-    """One entry of Contracts."""
+    """Parses an entry of Contracts."""
     return i.Plan(
         name=raw["Name"],
         rate=float(raw["Rate"]),
@@ -113,7 +113,7 @@
 
 
 def read_settings(raw: dict[str, Any]) -> i.Settings:
-    """The Info object of NEW_INSTANCE, or the settings of a configuration; unknown keys are skipped."""
+    """Parses the Info of NEW_INSTANCE or the settings of a configuration; unknown keys are ignored."""
     caps, rules, prices, family = raw["Caps"], raw["Rules"], raw["Prices"], raw["FamilyInfo"]
     return i.Settings(
         number=int(raw["Me"]),
@@ -154,7 +154,7 @@
 
 
 def read_entry(fields: Fields) -> i.BackendEntry:
-    """One M line of a LIST."""
+    """Parses an M line of a LIST."""
     started = int(fields.get("UpSinceUs", 0))
     return i.BackendEntry(
         backend=fields["Backend"],
@@ -168,7 +168,7 @@
 
 
 def read_request(f: Fields) -> i.Event:
-    """CALL."""
+    """Parses CALL."""
     return i.RequestArrived(
         request=f["Ticket"],
         class_name=f["Profile"],
@@ -182,7 +182,7 @@
 
 
 def read_attempt(f: Fields) -> i.Event:
-    """REPLY."""
+    """Parses REPLY."""
     return i.AttemptEnded(
         request=f["Ticket"],
         backend=f["Backend"],
@@ -197,25 +197,25 @@
 
 
 def read_probe(f: Fields) -> i.Event:
-    """PROBED."""
+    """Parses PROBED."""
     outcome, latency = OUTCOMES[int(f["How"])], seconds(f["LatencyUs"])
     return i.ProbeEnded(f["Backend"], outcome, latency, read_report(f.get("Usage", "")))
 
 
 def read_count(f: Fields) -> i.Event:
-    """TOTAL."""
+    """Parses TOTAL."""
     outcome = OUTCOMES[int(f["How"])]
     return i.CounterAnswered(int(f["Cname"]), outcome, float(f.get("Sum", 0)), seconds(f["LatencyUs"]))
 
 
 def read_peer(f: Fields) -> i.Event:
-    """FROM_PEER."""
+    """Parses FROM_PEER."""
     content = b"" if f["Content"] == "-" else base64.b64decode(f["Content"], validate=True)
     return i.PeerMessage(int(f["Sender"]), content)
 
 
 def read_stream(f: Fields) -> i.Event:
-    """ACK_FIRST."""
+    """Parses ACK_FIRST."""
     return i.StreamStarted(f["Ticket"], int(f["Go"]), f["Backend"], seconds(f["LatencyUs"]))
 
 
@@ -231,38 +231,38 @@
 }
 
 
-def write(door: int, action: i.Action) -> str:
-    """An action as a line of the reply."""
+def write(instance: int, action: i.Action) -> str:
+    """Formats an action as a line of the reply."""
     match action:
         case i.Send(request, backend, timeout):
             limit = "" if timeout is None else f" TryForUs={micros(timeout) or -1}"
-            return f"TRANSMIT Door={door} Ticket={request} Backend={backend}{limit}"
+            return f"TRANSMIT Door={instance} Ticket={request} Backend={backend}{limit}"
         case i.SetTimer(delay, handle):
-            return f"SET_ALARM Door={door} OffsetUs={micros(delay)} Handle={handle}"
+            return f"SET_ALARM Door={instance} OffsetUs={micros(delay)} Handle={handle}"
         case i.Refuse(request, retry_after, _):
             advice = "" if retry_after is None else f" RetryInUs={micros(retry_after)}"
-            return f"SHED Door={door} Ticket={request}{advice}"
+            return f"SHED Door={instance} Ticket={request}{advice}"
         case i.Fail(request):
-            return f"RESPOND_ERROR Door={door} Ticket={request}"
+            return f"RESPOND_ERROR Door={instance} Ticket={request}"
         case i.SendPeerMessage(peer, content):
             text = base64.b64encode(content).decode() or "-"
-            return f"TELL Door={door} Dest={'all' if peer is None else peer} Content={text}"
+            return f"TELL Door={instance} Dest={'all' if peer is None else peer} Content={text}"
         case i.Cancel(request, attempt):
-            return f"REVOKE Door={door} Ticket={request} Go={attempt}"
+            return f"REVOKE Door={instance} Ticket={request} Go={attempt}"
         case i.Probe(backend):
-            return f"SAMPLE Door={door} Backend={backend}"
+            return f"SAMPLE Door={instance} Backend={backend}"
         case i.Log(text):
-            return f"WRITE_LOG Door={door} BodyText={text}"
+            return f"WRITE_LOG Door={instance} BodyText={text}"
         case i.AddToCounter(name, amount, lifetime):
-            return f"ADD Door={door} Cname={name} Step={amount:g} ExpireInUs={micros(lifetime)}"
+            return f"ADD Door={instance} Cname={name} Step={amount:g} ExpireInUs={micros(lifetime)}"
         case i.CloseIdle(backend):
-            return f"RELEASE Door={door} Backend={backend}"
+            return f"RELEASE Door={instance} Backend={backend}"
         case i.FetchList():
-            return f"LIST_ALL Door={door}"
+            return f"LIST_ALL Door={instance}"
         case i.Subscribe(wanted):
-            return f"WATCH Door={door} Want={int(wanted)}"
+            return f"WATCH Door={instance} Want={int(wanted)}"
         case i.UseReported():
-            raise ValueError("the simulator's wire knows no second witness")
+            raise ValueError("counter reconciliation is not part of the wire format")
 
 
 class Adapter:
@@ -274,7 +274,7 @@
         self.lists: dict[int, tuple[i.BackendEntry, ...]] = {}
 
     def run(self) -> None:
-        """Answers every batch until the input ends."""
+        """Processes batches until the end of the input."""
         lines = iter(self.source)
         for line in lines:
             text = line.rstrip("\n")
@@ -282,13 +282,13 @@
                 self.answer(text, lines)
 
     def answer(self, opening: str, lines: Iterator[str]) -> None:
-        """One batch: its events in order, then the reply in one flush."""
+        """Processes the events of one batch in order and writes the reply at once."""
         out: list[str] = []
         serial, now = "0", 0.0
         try:
             name, fields = read_line(opening)
             if name != "BEGIN_BATCH":
-                raise MalformedError(f"'{name}' where a batch should begin")
+                raise MalformedError(f"expected BEGIN_BATCH, got '{name}'")
             serial, now = str(int(fields["serial"])), seconds(fields["NowUs"])
         except (ValueError, KeyError) as error:
             self.report(out, None, opening, error)
@@ -298,88 +298,88 @@
                 break
             self.event(now, text, lines, out)
         else:
-            self.report(out, None, opening, MalformedError("input ended within a batch"))
+            self.report(out, None, opening, MalformedError("unexpected end of input within a batch"))
         out.append(f"ACK serial={serial}\n")
         self.sink.write("\n".join(out))
         self.sink.flush()
 
     def event(self, now: float, text: str, lines: Iterator[str], out: list[str]) -> None:
-        """One event; what is malformed ends in a plain message and a CRASH, so does a fault of the module."""
-        door: int | None = None
+        """Processes one event; malformed input and faults of the module are reported as CRASH."""
+        instance: int | None = None
         try:
             name, fields = read_line(text)
             if name == "LIST":
                 self.read_list(fields, lines)
                 return
-            door = int(fields["Door"])
+            instance = int(fields["Door"])
             if name == "EXIT":
-                self.gateways.pop(door, None)
+                self.gateways.pop(instance, None)
                 return
-            event = self.read(door, name, fields)
+            event = self.read(instance, name, fields)
         except (ValueError, KeyError, TypeError, AttributeError, binascii.Error) as error:
-            self.report(out, door, text, error)
+            self.report(out, instance, text, error)
             return
         try:
-            actions = self.gateways[door].handle(now, event)
-        except Exception as error:  # any fault of the module ends its instance, never the process
-            del self.gateways[door]
-            self.crash(out, door, f"fault of the module: instance {door}, {name}: {error!r}")
+            actions = self.gateways[instance].handle(now, event)
+        except Exception as error:  # a fault ends the instance, never the process
+            del self.gateways[instance]
+            self.crash(out, instance, f"fault of the module: instance {instance}, {name}: {error!r}")
             return
-        out.extend(write(door, action) for action in actions)
+        out.extend(write(instance, action) for action in actions)
 
-    def read(self, door: int, name: str, fields: Fields) -> i.Event:
-        """The event of a line, for an instance that runs."""
+    def read(self, instance: int, name: str, fields: Fields) -> i.Event:
+        """Parses a line into an event for a running instance."""
         if name == "NEW_INSTANCE":
-            self.gateways[door] = Gateway(read_settings(json.loads(fields["Info"])), int(fields["Seed"]))
+            self.gateways[instance] = Gateway(read_settings(json.loads(fields["Info"])), int(fields["Seed"]))
             return i.Started()
         if name not in READERS and name != "SYNC":
             raise MalformedError(f"unknown event '{name}'")
         event = self.read_sync(fields) if name == "SYNC" else READERS[name](fields)
-        if door not in self.gateways:
-            raise MalformedError(f"{name} for instance {door}, which is not running")
-        gateway = self.gateways[door]
+        if instance not in self.gateways:
+            raise MalformedError(f"{name} for instance {instance}, which does not exist")
+        gateway = self.gateways[instance]
         if isinstance(event, i.RequestArrived):
             if event.class_name not in gateway.classes:
                 raise MalformedError(f"unknown class '{event.class_name}'")
             if event.plan not in gateway.plans:
                 raise MalformedError(f"unknown plan '{event.plan}'")
         if isinstance(event, i.AttemptEnded) and (event.request, event.attempt) not in gateway.open_attempts:
-            raise MalformedError(f"no attempt {event.attempt} of {event.request} is out")
+            raise MalformedError(f"no attempt {event.attempt} of {event.request} is in flight")
         return event
 
     def read_list(self, fields: Fields, lines: Iterator[str]) -> None:
-        """A numbered list; all its lines are taken in before any is judged."""
+        """Reads a numbered list, with all of its lines before the first is parsed."""
         raw = [next(lines, "").rstrip("\n") for _ in range(int(fields["Entries"]))]
         entries = []
         for line in raw:
             name, entry = read_line(line)
             if name != "M":
-                raise MalformedError(f"'{name}' where a list entry should be")
+                raise MalformedError(f"expected list entry M, got '{name}'")
             entries.append(read_entry(entry))
         self.lists[int(fields["List"])] = tuple(entries)
 
     def read_sync(self, fields: Fields) -> i.Event:
-        """SYNC, with the list that its number stands for now."""
+        """Parses SYNC; the list is the latest one of that number."""
         if fields["Kind"] == "FAILED":
             return i.ListFailed()
         number = int(fields["List"])
         if number not in self.lists:
-            raise MalformedError(f"list {number} was never given")
+            raise MalformedError(f"unknown list {number}")
         return i.BackendsListed(KINDS[fields["Kind"]], self.lists[number])
 
-    def report(self, out: list[str], door: int | None, text: str, error: Exception) -> None:
-        """Names what is malformed on standard error and as the wire's CRASH."""
+    def report(self, out: list[str], instance: int | None, text: str, error: Exception) -> None:
+        """Reports malformed input."""
         reason = f"missing or unknown {error}" if isinstance(error, KeyError) else f"{error}"
-        self.crash(out, door, f"malformed input: {reason} in: {text[:200]}")
+        self.crash(out, instance, f"malformed input: {reason} in: {text[:200]}")
 
-    def crash(self, out: list[str], door: int | None, message: str) -> None:
-        """A plain line on standard error, and the wire's CRASH."""
+    def crash(self, out: list[str], instance: int | None, message: str) -> None:
+        """Writes a message to standard error and CRASH to the reply."""
         self.errors.write(f"hoistfold: {message}\n")
-        out.append(f"CRASH Door={0 if door is None else door} BodyText={message}")
+        out.append(f"CRASH Door={0 if instance is None else instance} BodyText={message}")
 
 
 def main() -> None:
-    """Reads the wire on standard input and writes it on standard output."""
+    """Translates standard input to standard output."""
     Adapter(sys.stdin, sys.stdout, sys.stderr).run()
 
 
--- a/hoistfold/call_budget.py
+++ b/hoistfold/call_budget.py
@@ -1,8 +1,8 @@
-"""Which requests are worth a call of the counter, of as many as it answers in time.
+"""Limits the calls to the counter service and selects the requests that are worth one.
 
-The share of the requests that is asked for follows the counter: it falls where answers are slow or missing or
-calls are turned away, and grows with the answers in time. Of the requests those are asked for first where an
-answer most likely changes the decision, weighed by what that is worth.
+The share of requests with a call follows the service: it falls when answers are slow or missing or calls are
+refused, and grows with answers in time. Requests whose decision most likely depends on the answer come first,
+weighted by the value of that decision.
 """
 
 from __future__ import annotations
@@ -22,49 +22,51 @@
 
 
 class CallBudget:
-    """How many of the requests the counter is asked about, and which."""
+    """Decides for which requests the counter service is called."""
 
-    def __init__(self, limit: float) -> None:
-        """`limit`: seconds after which a call counts as unanswered."""
-        self.timeout = limit
-        self.share = 1.0  # of the requests, those that are asked for
+    def __init__(self, timeout: float) -> None:
+        """`timeout`: of a call, in seconds."""
+        self.timeout = timeout
+        self.share = 1.0  # of requests with a call
         self.decreased_at = -math.inf
-        self.over_quota_rate: dict[RequestKind, float] = {}  # of the asks, the part that found no room
-        self.request_counts: dict[RequestKind, float] = {}  # recent ones, whether they were asked for or not
+        self.over_quota_rate: dict[RequestKind, float] = {}  # by kind, of answered calls
+        self.request_counts: dict[RequestKind, float] = {}  # recent requests, with or without a call
         self.call_credit: dict[RequestKind, float] = {}
 
     def call_ended(self, now: float, outcome: i.Outcome, latency: float) -> None:
-        """What the end of a call says of the counter."""
+        """Adjusts the share to the result of a call."""
         if outcome is i.Outcome.OK and latency < SLOW_ANSWER_SHARE * self.timeout:
             self.share = min(1.0, self.share + INCREASE)
-        elif now - self.decreased_at >= self.timeout:  # else of the same queue
+        elif now - self.decreased_at >= self.timeout:  # otherwise due to the same queue
             self.decreased_at = now
             self.share = max(MIN_SHARE, self.share * DECREASE)
 
-    def record_answer(self, kind: RequestKind, beyond: bool) -> None:
-        """Whether an ask found no room."""
-        known = self.over_quota_rate.get(kind, INITIAL_OVER_QUOTA_RATE)
-        self.over_quota_rate[kind] = known + 0.05 * (beyond - known)
+    def record_answer(self, kind: RequestKind, over_quota: bool) -> None:
+        """Records whether a call found the quota exhausted."""
+        rate = self.over_quota_rate.get(kind, INITIAL_OVER_QUOTA_RATE)
+        self.over_quota_rate[kind] = rate + 0.05 * (over_quota - rate)
 
     def allows(self, kind: RequestKind) -> bool:
-        """False for a request that isn't asked for: of a pressed counter first those that are worth least."""
+        """Whether to call for a request; kinds with the most valuable answers come first."""
         self.request_counts[kind] = self.request_counts.get(kind, 0.0) + 1
         total = sum(self.request_counts.values())
-        dearer = sum(
+        more_valuable = sum(
             count
-            for known, count in self.request_counts.items()
-            if self.answer_value(known) > self.answer_value(kind)
+            for other, count in self.request_counts.items()
+            if self.answer_value(other) > self.answer_value(kind)
         )
-        part = (self.share * total - dearer) / self.request_counts[kind]
-        self.call_credit[kind] = self.call_credit.get(kind, 0.0) + min(1.0, max(0.0, part))
+        share = (self.share * total - more_valuable) / self.request_counts[kind]
+        self.call_credit[kind] = self.call_credit.get(kind, 0.0) + min(1.0, max(0.0, share))
         allowed = self.call_credit[kind] >= 1.0
         self.call_credit[kind] -= allowed
         if total > MAX_COUNTED_REQUESTS:
-            self.request_counts = {known: count / 2 for known, count in self.request_counts.items()}
+            self.request_counts = {other: count / 2 for other, count in self.request_counts.items()}
         return allowed
 
     def answer_value(self, kind: RequestKind) -> float:
-        """What an answer saves on a unit: being let in beyond the quota, or being refused inside it."""
-        plan, share = kind
-        beyond = self.over_quota_rate.get(kind, INITIAL_OVER_QUOTA_RATE)
-        return plan.price * (EXCESS_WEIGHT * beyond * plan.excess_cost if share else 1.0 - beyond)
+        """Value of an answer per unit: it prevents excess, or a refusal within the quota."""
+        plan, admitted = kind
+        over_quota_rate = self.over_quota_rate.get(kind, INITIAL_OVER_QUOTA_RATE)
+        return plan.price * (
+            EXCESS_WEIGHT * over_quota_rate * plan.excess_cost if admitted else 1.0 - over_quota_rate
+        )
--- a/hoistfold/ceiling.py
+++ b/hoistfold/ceiling.py
@@ -1,7 +1,7 @@
-"""How a plan's ceiling is divided where coordinators grant units of it: the parts add up to one ceiling.
+"""Division of a plan's ceiling where coordinators grant units of it.
 
-A store with a rate and a burst may be cut into parts, each a store with that part of both: what conforms to
-each part conforms together to the whole, whoever can hear whom.
+A token bucket can be split into parts that each have a fraction of its rate and burst: what conforms to every
+part conforms in total to the whole, whichever members can reach each other.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 @dataclass(slots=True, frozen=True)
 class CeilingShares:
-    """Of one ceiling: what the two coordinators grant from, and what all members take from evenly."""
+    """Fractions of a ceiling: granted by each of two coordinators, and used by the members evenly."""
 
     primary: float
     secondary: float
     members: float
 
     def granted_by(self, index: int) -> float:
-        """The part of the coordinator at an index in their order; none from the third on."""
+        """Fraction that the coordinator at an index of their order grants from; 0 from the third on."""
         return (self.primary, self.secondary)[index] if index < 2 else 0.0
 
 
 def ceiling_shares(plan: Plan) -> CeilingShares:
-    """The parts of a plan's ceiling; all of it is the members' where the plan has none."""
+    """Splits a plan's ceiling; without one, all of it belongs to the members."""
     if not plan.ceiling_rate or not plan.ceiling_burst:
         return CeilingShares(0.0, 0.0, 1.0)
     needed = max(plan.rate / plan.ceiling_rate, plan.burst / plan.ceiling_burst)
--- a/hoistfold/client_timeouts.py
+++ b/hoistfold/client_timeouts.py
@@ -1,7 +1,8 @@
-"""How long a client may have waited, by the time that a try of its request is given.
+"""Estimates how long a client has been waiting from the timeout of its request.
 
-Clients give most tries the same time. The last one gets all that is left of the class's deadline, which may
-be more or less than that: a try that differs from the usual tells when its request was made.
+Clients use the same timeout for most requests. The last retry gets what is left of the class's deadline,
+which may be longer or shorter: a timeout that differs from the usual one reveals the time of the first
+attempt.
 """
 
 from __future__ import annotations
@@ -16,14 +17,14 @@
 
 @dataclass(slots=True)
 class UsualTimeout:
-    """The most common time that the tries of one class are given, by a running vote."""
+    """The most common timeout of a request class, found by a running vote."""
 
     deadline: float
     timeout: float = 0.0
     votes: float = 0.0
 
     def observe(self, time_left: float) -> float:
-        """Counts a try; seconds that its client has surely waited before it, 0 where that is not told."""
+        """Records a request; returns the seconds that its client has surely waited before, 0 if unknown."""
         if abs(time_left - self.timeout) <= TOLERANCE * self.deadline:
             self.votes = min(MAX_VOTES, self.votes + 1)
             return 0.0
--- a/hoistfold/coordinators.py
+++ b/hoistfold/coordinators.py
@@ -1,16 +1,16 @@
-"""Quotas of rings too long to pass totals round: coordinators among the members keep a tenant's total.
+"""Quotas of rings in which passing totals round would outlast a window: coordinators hold the totals.
 
-A member asks a tenant's primary coordinator before it admits: for the units of the request, and for a
-lease of a few more where the tenant is busy. The secondary one is told of the use; it is asked where the
-primary is silent, or has started too lately to know the total.
+A member asks the tenant's primary coordinator before it admits a request: for the units of the request and,
+if the tenant is busy, for a lease of a few more. Use is reported to the secondary coordinator, which is asked
+if the primary does not reply or has started too recently to know the total.
 
-What is sent follows the budget of messages that receivers take in, not the requests. Where the budget runs
-out, tenants far from their quota are admitted by the total that was told last; their use is told with a later
-message to the coordinator.
+The number of messages is bound by the receivers' intake, not by the number of requests. Without budget,
+tenants with low use are admitted by the last known total, and their use is reported with a later message to
+the coordinator.
 
-A plan's ceiling is divided (ceiling.py): a coordinator grants units of its own part along with the quota's,
-and members share a small part for what they admit without a grant, so that all stay under it also in a
-partition.
+A plan's ceiling is divided (ceiling.py): a coordinator grants units of its own part together with those of
+the quota, and the members share a small part for what they admit without a grant, so that the ceiling also
+holds in a partition.
 """
 
 from __future__ import annotations
@@ -54,28 +54,30 @@
 
 
 class QuotaCheck(Protocol):
-    """Whether units fit a quota, as far as it is known."""
+    """Checks whether units fit into a quota, as far as its use is known."""
 
     def __call__(self, quota: Quota, units: float, known: bool, ceiling_granted: bool = False) -> bool:
-        """`told`: its total is known; `ceiling_granted`: no share of the ceiling is needed."""
+        """`known`: whether the total is known; `ceiling_granted`: a coordinator has granted the ceiling's
+        part.
+        """
 
 
 class Coordination:
-    """Both roles of one gateway: it asks the coordinators of tenants, and is one itself."""
+    """Both roles of a gateway: it asks the coordinators of tenants and is a coordinator itself."""
 
-    def __init__(self, gateway: GatewayState, admit: Admit, within: QuotaCheck) -> None:
+    def __init__(self, gateway: GatewayState, admit: Admit, fits_quota: QuotaCheck) -> None:
         """`admit` carries out the decision on a request."""
-        self.gateway, self.admit, self.fits_quota = gateway, admit, within
+        self.gateway, self.admit, self.fits_quota = gateway, admit, fits_quota
         per_second = INTAKE_SHARE * gateway.settings.peer_intake
         self.budget = TokenBucket(per_second, max(1.0, per_second))
-        self.reply_seconds = 0.05  # until a total asked for is back, learnt
-        self.unreported: dict[int, dict[bytes, Quota]] = {}  # use not told yet, by receiver
-        self.unanswered: dict[int, int] = {}  # asks in a row, by member
+        self.reply_seconds = 0.05  # until a reply arrives, learned
+        self.unreported: dict[int, dict[bytes, Quota]] = {}  # use to be reported, by receiver
+        self.unanswered: dict[int, int] = {}  # consecutive requests without a reply, by member
 
-    # A member's side.
+    # Member.
 
     def request_arrived(self, request: Request) -> None:
-        """Decides on a request, at once or when the totals asked for are back."""
+        """Decides on a request, at once or when its grant has arrived."""
         quota, now = request.quota, self.gateway.now
         if quota.lease >= request.units and now < quota.lease_expires_at:
             quota.lease -= request.units
@@ -88,26 +90,26 @@
             self._acquire_or_estimate(request)
 
     def _may_fit(self, quota: Quota, units: float) -> bool:
-        """False where what is known already rules a request out."""
+        """False if the known use already rules the request out."""
         return quota.own + quota.others + units / quota.share <= quota.plan.burst
 
     def _acquire_or_estimate(self, request: Request) -> None:
         quota, now = request.quota, self.gateway.now
-        far = self._expected_use(quota) + request.units <= LOW_USE_SHARE * quota.plan.burst
+        low_use = self._expected_use(quota) + request.units <= LOW_USE_SHARE * quota.plan.burst
         coordinator = self._coordinators(quota)[0]
         if coordinator == self.gateway.settings.number:
             self._acquire(request, coordinator)
             return
-        untold = quota.key in self.unreported.get(coordinator, {})
-        fits = far and not untold and self.fits_quota(quota, request.units, True)
-        short = self.budget.level(now) < ESTIMATE_BELOW
-        if (fits and short) or not self.budget.take(now, 1):
-            self._admit_by_estimate(request, coordinator, far)
+        unreported = quota.key in self.unreported.get(coordinator, {})
+        fits = low_use and not unreported and self.fits_quota(quota, request.units, True)
+        low_budget = self.budget.level(now) < ESTIMATE_BELOW
+        if (fits and low_budget) or not self.budget.take(now, 1):
+            self._admit_by_estimate(request, coordinator, low_use)
         else:
             self._acquire(request, coordinator)
 
     def _expected_use(self, quota: Quota) -> float:
-        """What is used of the burst if the tenant goes on as it did; all of it where nothing is known."""
+        """Expected use if the tenant keeps its rate; the whole burst if the last total is stale."""
         window = quota.plan.burst / quota.plan.rate
         age = self.gateway.now - quota.total_at
         if age > STALE_WINDOWS * window:
@@ -115,7 +117,7 @@
         return quota.own + quota.others + quota.observed_others_rate * min(age, window)
 
     def _admit_by_estimate(self, request: Request, coordinator: int, known: bool) -> None:
-        """By what is known alone; the use is told to the coordinator with a later message."""
+        """Decides by the known use; the units are reported to the coordinator with a later message."""
         quota = request.quota
         self.admit(request, self.fits_quota(quota, request.units, known))
         if request.attempts:
@@ -127,13 +129,13 @@
             reports[quota.key] = quota
 
     def _coordinators(self, quota: Quota) -> list[int]:
-        """The members that answer, in the order in which they coordinate; never none."""
+        """Reachable members in the order in which they coordinate; never empty."""
         candidates = self.gateway.members(quota, primary_coordinator_index(quota))[:MAX_CANDIDATES]
         own = self.gateway.settings.number
         return [n for n in candidates if n == own or self.gateway.reachable(n)] or candidates
 
     def _acquire(self, request: Request, coordinator: int) -> None:
-        """The request waits until its units are granted and the total is back."""
+        """Requests units from a coordinator; the request waits for the reply."""
         quota, gateway = request.quota, self.gateway
         quota.acquiring, quota.grantor, quota.lease = request, coordinator, 0.0
         quota.awaiting_reply, quota.total_known, quota.queried = [], False, False
@@ -146,16 +148,16 @@
             self._send_request(request, coordinator, MessageKind.ACQUIRE)
 
     def _grant_to_self(self, quota: Quota, units: float) -> None:
-        """This gateway is the coordinator: the total is at hand."""
+        """Grants units as coordinator; the total is known locally."""
         quota.total_known, quota.total_at, quota.others = True, self.gateway.now, quota.member_use
         if quota.plan.ceiling_rate and quota.grantable_ceiling >= units:
             quota.grantable_ceiling -= units
             quota.ceiling_granted = True
 
     def _lease_wanted(self, quota: Quota, units: float) -> float:
-        """What this member is likely to need soon, in whole requests of this size."""
-        likely = max(quota.own_rate * LEASE_SECONDS / 2, sum(one.units for one in quota.queued))
-        return units * int(min(LEASE_BURST_SHARE * quota.plan.burst, likely) / units)
+        """Units that this member is likely to need soon, in multiples of the request's units."""
+        expected = max(quota.own_rate * LEASE_SECONDS / 2, sum(request.units for request in quota.queued))
+        return units * int(min(LEASE_BURST_SHARE * quota.plan.burst, expected) / units)
 
     def _send_request(self, request: Request, receiver: int, kind: MessageKind) -> None:
         quota, gateway = request.quota, self.gateway
@@ -168,12 +170,14 @@
         gateway.set_timer(2 * self.reply_seconds + 2 * gateway.settings.tick, request)
 
     def _send_message(self, receiver: int, entry: bytes, quota: Quota | None = None) -> None:
-        """One message, with reports of use that wait for the same receiver; of `quota` it tells itself."""
+        """Sends an entry together with pending reports to the same receiver; a report of `quota` is
+        redundant.
+        """
         reports = self.unreported.get(receiver, {})
         if quota is not None:
             reports.pop(quota.key, None)
-        room = (MAX_ENTRY_BYTES - len(entry)) // ENTRY.size
-        for key in list(reports)[:room]:
+        capacity = (MAX_ENTRY_BYTES - len(entry)) // ENTRY.size
+        for key in list(reports)[:capacity]:
             entry += self._report(reports.pop(key))
         self.gateway.actions.append(i.SendPeerMessage(receiver, encode_message(entry)))
 
@@ -181,7 +185,7 @@
         return pack_entry(self.gateway.settings.plans, quota, MessageKind.REPORT, quota.index, quota.own)
 
     def reply_received(self, quota: Quota, sender: int, entry: Entry) -> None:
-        """A coordinator answers with what it granted, the total, and how long it has been up."""
+        """Handles a reply: the granted units, the total, and the coordinator's uptime."""
         gateway = self.gateway
         quota.awaiting_reply.remove(sender)
         self.unanswered.pop(sender, None)
@@ -194,36 +198,36 @@
             self._update_others_rate(quota, others)
         quota.others = max(others, quota.others) if quota.total_known else others
         quota.total_known = True
-        if quota.grantor == gateway.settings.number:  # it has started lately: what it was told it knows now
+        if quota.grantor == gateway.settings.number:  # recently started: adopts the total that was queried
             quota.member_use = quota.others
         if quota.acquiring is not None:
             self._query_or_decide(quota.acquiring, entry.units / COUNTS_PER_UNIT)
 
     def _query_or_decide(self, request: Request, seconds_up: float) -> None:
-        """Where the grantor has started lately the next coordinator is asked for its total too."""
+        """Queries the next coordinator's total too if the grantor has started too recently to know it."""
         quota = request.quota
-        knows = seconds_up > WARM_UP_WINDOWS * quota.plan.burst / quota.plan.rate
-        passed_over = {quota.grantor, self.gateway.settings.number, *quota.unresponsive_coordinators}
-        others = [n for n in self._coordinators(quota) if n not in passed_over]
+        warmed_up = seconds_up > WARM_UP_WINDOWS * quota.plan.burst / quota.plan.rate
+        excluded = {quota.grantor, self.gateway.settings.number, *quota.unresponsive_coordinators}
+        others = [n for n in self._coordinators(quota) if n not in excluded]
         fits = quota.granted_units >= request.units
-        if not knows and not quota.queried and others and fits and self.budget.take(self.gateway.now, 1):
+        if not warmed_up and not quota.queried and others and fits and self.budget.take(self.gateway.now, 1):
             quota.queried = True
             self._send_request(request, others[0], MessageKind.QUERY)
         else:
             self.decide(request)
 
     def _update_others_rate(self, quota: Quota, others: float) -> None:
-        """Learns how fast the other members use the quota, beside what drains."""
+        """Estimates the rate at which the other members use the quota, including what drains."""
         now = self.gateway.now
-        passed = now - quota.total_at
-        if 0.0 < passed <= 10.0:
-            grown = max(0.0, others - quota.others) + min(quota.others, quota.plan.rate * passed)
-            weight = min(1.0, passed / RATE_DECAY_SECONDS)
-            quota.observed_others_rate += weight * (grown / passed - quota.observed_others_rate)
+        elapsed = now - quota.total_at
+        if 0.0 < elapsed <= 10.0:
+            grown = max(0.0, others - quota.others) + min(quota.others, quota.plan.rate * elapsed)
+            weight = min(1.0, elapsed / RATE_DECAY_SECONDS)
+            quota.observed_others_rate += weight * (grown / elapsed - quota.observed_others_rate)
         quota.total_at = now
 
     def decide(self, request: Request) -> None:
-        """All that was asked for is back, or its time is over."""
+        """Decides after all replies have arrived or the timeout has expired."""
         quota, gateway = request.quota, self.gateway
         for number in quota.awaiting_reply:
             self._record_missed_reply(number, quota.acquired_at)
@@ -237,13 +241,13 @@
                 return
             self._decide_by_grant(request)
         quota.unresponsive_coordinators = []
-        waiting, quota.queued = quota.queued, []
-        for one in waiting:
-            if one.name in gateway.requests:
-                self.request_arrived(one)
+        queued, quota.queued = quota.queued, []
+        for following in queued:
+            if following.name in gateway.requests:
+                self.request_arrived(following)
 
     def _acquire_from_next(self, request: Request) -> bool:
-        """One coordinator was silent: once the next one is asked, if the budget allows."""
+        """Asks the next coordinator after a missing reply, once and only within the budget."""
         quota = request.quota
         quota.unresponsive_coordinators = [quota.grantor]
         others = [n for n in self._coordinators(quota) if n != quota.grantor]
@@ -271,13 +275,13 @@
         self._report_to_secondary(quota)
 
     def _record_refusal(self, quota: Quota, units: float, fits: bool) -> None:
-        """Each refusal in a row doubles the pause, so that one tenant cannot flood its coordinators."""
+        """Doubles the pause with each consecutive refusal, so that no tenant can flood its coordinators."""
         plan = quota.plan
-        asks_per_second = TENANT_INTAKE_SHARE * max(1.0, self.gateway.settings.peer_intake)
-        all_ask = quota.size / asks_per_second  # seconds in which each member may ask once
-        longest = max(MAX_PAUSE_WINDOWS * plan.burst / plan.rate, all_ask)
+        requests_per_second = TENANT_INTAKE_SHARE * max(1.0, self.gateway.settings.peer_intake)
+        round_seconds = quota.size / requests_per_second  # in which each member may ask once
+        longest = max(MAX_PAUSE_WINDOWS * plan.burst / plan.rate, round_seconds)
         doubled = units * 2.0 ** min(quota.refusals, 9) / plan.rate
-        pause = min(max(doubled, all_ask * MIN_PAUSE_SHARE), longest)
+        pause = min(max(doubled, round_seconds * MIN_PAUSE_SHARE), longest)
         quota.refusals = 0 if fits else quota.refusals + 1
         quota.blocked_until = 0.0 if fits else self.gateway.now + pause
 
@@ -287,7 +291,7 @@
         self.admit(request, self.fits_quota(quota, request.units, quota.total_known, quota.ceiling_granted))
 
     def _report_to_secondary(self, quota: Quota) -> None:
-        """It stands in for the primary one: at once where the budget allows, else with a later message."""
+        """Reports to the secondary coordinator, at once if the budget allows, else with a later message."""
         own = self.gateway.settings.number
         others = [n for n in self._coordinators(quota)[:2] if n not in (quota.grantor, own)]
         if not others:
@@ -298,78 +302,81 @@
         else:
             self._report_later(others[0], quota)
 
-    def _record_missed_reply(self, number: int, asked_at: float) -> None:
-        """A member that leaves asks unanswered, and is not heard of otherwise, is skipped for a while."""
+    def _record_missed_reply(self, number: int, requested_at: float) -> None:
+        """Skips a member for a while if it leaves requests unanswered and sends nothing else either."""
         peer = self.gateway.peers[number]
-        missed = 0 if peer.last_seen >= asked_at else self.unanswered.get(number, 0) + 1
+        missed = 0 if peer.last_seen >= requested_at else self.unanswered.get(number, 0) + 1
         self.unanswered[number] = missed
         if missed >= UNANSWERED_LIMIT:
             peer.skip_until = self.gateway.now + SKIP_SECONDS
 
-    # A coordinator's side.
+    # Coordinator.
 
     def request_received(self, quota: Quota, sender: int, entry: Entry) -> None:
-        """Grants units as far as they fit, and tells the total with them."""
+        """Grants units as far as they fit and replies with the total."""
         gateway = self.gateway
-        place = (sender - entry.first) % gateway.settings.gateways
-        before, own_level = (entry.count - entry.units) & 0xFFFF, max(0, entry.level - entry.units)
-        self._reconcile_use(quota, place, before, own_level)
+        index = (sender - entry.first) % gateway.settings.gateways
+        count_before, own_level = (entry.count - entry.units) & 0xFFFF, max(0, entry.level - entry.units)
+        self._reconcile_use(quota, index, count_before, own_level)
         granted = self._grantable(quota, entry.units)
         quota.member_use += granted / COUNTS_PER_UNIT / quota.share
         quota.grantable_ceiling -= granted / COUNTS_PER_UNIT
-        quota.counts[place] = (before + granted) & 0xFFFF
+        quota.counts[index] = (count_before + granted) & 0xFFFF
         level, seconds_up = quota.own + quota.member_use, gateway.now - gateway.started_at
-        total = pack_entry(
+        reply = pack_entry(
             gateway.settings.plans,
             quota,
             MessageKind.REPLY,
-            place,
+            index,
             level,
             units=min(0xFFFF, round(seconds_up * COUNTS_PER_UNIT)),
         )
-        self._send_message(sender, total)
+        self._send_message(sender, reply)
 
     def report_received(self, quota: Quota, entry: Entry) -> None:
-        """A member tells its use; what it was granted and has not used yet it may still use."""
+        """Handles a report of use; units of a lease that is not used up yet stay reserved."""
         known = quota.counts.get(entry.index)
         if known is None or not 0 < (known - entry.count) & 0xFFFF <= self._max_grant(quota):
             self._reconcile_use(quota, entry.index, entry.count, entry.level)
 
-    def _reconcile_use(self, quota: Quota, place: int, count: int, own_level: int) -> None:
-        """Takes what a member used unasked, and gives back what it was granted and did not use.
+    def _reconcile_use(self, quota: Quota, index: int, count: int, own_level: int) -> None:
+        """Adds use without a grant and returns granted units that were not used.
 
-        Of the ceiling nothing is given back: that it was not used is only a member's word.
+        Units of the ceiling are never returned, as the report alone does not prove that they were not used.
         """
-        known = quota.counts.get(place)
-        quota.counts[place] = count
+        known = quota.counts.get(index)
+        quota.counts[index] = count
         if known is None:
-            # it may be in what another coordinator told of all
+            # may be included in the total of another coordinator
             quota.member_use = max(quota.member_use, own_level / COUNTS_PER_UNIT / quota.share)
             return
         unused = (known - count) & 0xFFFF
         if unused <= self._max_grant(quota):
             quota.member_use = max(0.0, quota.member_use - unused / COUNTS_PER_UNIT / quota.share)
         else:
-            more = (count - known) & 0xFFFF
-            more = more if more <= 0x7FFF else own_level  # one that started anew counts from nought
-            quota.member_use += min(more, own_level) / COUNTS_PER_UNIT / quota.share
-        # what was sent on beyond the quota took nothing from it
+            increase = (count - known) & 0xFFFF
+            increase = increase if increase <= 0x7FFF else own_level  # after a restart counts begin at 0
+            quota.member_use += min(increase, own_level) / COUNTS_PER_UNIT / quota.share
+        # Requests sent over quota were not charged to it.
         quota.member_use = min(quota.member_use, max(0.0, quota.plan.burst - quota.own))
 
     def _max_grant(self, quota: Quota) -> int:
-        """Units that one ask may have been granted at most, in the fractions that counts are of."""
+        """Upper bound of a single grant, in counts."""
         return round(
             (LEASE_BURST_SHARE * quota.plan.burst + self.gateway.settings.max_units) * COUNTS_PER_UNIT
         )
 
     def _grantable(self, quota: Quota, units: int) -> int:
-        """Of the units asked for, in fractions of one: those needed now, and a lease while little is used."""
+        """Grantable counts out of those requested: what is needed now, plus a lease while use is low."""
         used = quota.own + quota.member_use
-        room = (quota.plan.burst - used) * quota.share
-        spare = (LEASE_BELOW * quota.plan.burst - used) * quota.share
+        available = (quota.plan.burst - used) * quota.share
+        available_ahead = (LEASE_BELOW * quota.plan.burst - used) * quota.share
         if quota.plan.ceiling_rate:
-            room, spare = min(room, quota.grantable_ceiling), min(spare, quota.grantable_ceiling)
-        if spare * COUNTS_PER_UNIT >= units:
+            available, available_ahead = (
+                min(available, quota.grantable_ceiling),
+                min(available_ahead, quota.grantable_ceiling),
+            )
+        if available_ahead * COUNTS_PER_UNIT >= units:
             return units
         needed = min(units, round(self.gateway.settings.max_units * COUNTS_PER_UNIT))
-        return needed if room * COUNTS_PER_UNIT >= needed else 0
+        return needed if available * COUNTS_PER_UNIT >= needed else 0
--- a/hoistfold/overload.py
+++ b/hoistfold/overload.py
@@ -1,7 +1,7 @@
-"""Which requests yield while the backends are overloaded: those that earn little for their work, first.
+"""Priorities of request classes under overload: classes with low earnings for their work yield first.
 
-A request is admitted while what is out takes less than its part of the room. The part of the class that earns
-most is all of it; how far the others stay below follows from how often that class finds no room itself.
+A request is admitted while the attempts in flight are below its share of the capacity. The class with the
+best earnings may use all of it; the shares of the others shrink with the refusal rate of that class.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 
 
 class ClassPriority:
-    """Learns how scarce room is for the class that earns most."""
+    """Tracks how scarce capacity is for the class with the best earnings."""
 
     def __init__(self) -> None:
-        self.refusal_rate = 0.0  # of the best class's requests, lately
+        self.refusal_rate = 0.0  # of the best class's recent requests
 
     def capacity_share(self, earnings: float) -> float:
-        """The part of the room that may be taken before such a request is refused.
+        """Share of the capacity above which a request is refused.
 
-        `earnings`: worth for its work, as a part of the best class's, 0 to 1.
+        `earnings`: value per work relative to the best class, 0 to 1.
         """
         scarcity = min(1.0, self.refusal_rate / HIGH_REFUSAL_RATE)
         reserved = MIN_RESERVED + (MAX_RESERVED - MIN_RESERVED) * scarcity
         return 1.0 - reserved * (1.0 - earnings)
 
     def observe(self, earnings: float, refused: bool) -> None:
-        """Counts a request that was decided on for room."""
+        """Records a request that was decided on by capacity."""
         if earnings >= TOP_EARNINGS:
             self.refusal_rate += SMOOTHING * (refused - self.refusal_rate)
--- a/hoistfold/partition.py
+++ b/hoistfold/partition.py
@@ -1,9 +1,9 @@
-"""Which side of a network partition this gateway is on, and what part of a quota that side may use.
+"""Detects partitions and the share of a quota that each side may use.
 
-The membership learns of the members behind a cut one after another, over seconds, while the ring tells within
-some epochs who is not heard any more. So a member counts as unreached from its silence on, whether
-it is held for dead yet or not: were those that are only silent counted as present until they are dead, the
-first death would turn the smaller side into a majority until the last one. No I/O; time is an argument.
+The membership detects unreachable members one after another over seconds, the ring's silence within a few
+epochs. A member therefore counts as unreachable from its silence on, whether the membership considers it dead
+yet or not. If silent members counted as alive until they are declared dead, the first death would make a
+minority a majority again until the last one.
 """
 
 from __future__ import annotations
@@ -21,55 +21,58 @@
 
 @dataclass(slots=True, frozen=True)
 class Partition:
-    """The members that are not reached, and whether this side goes on with the whole quota."""
+    """Unreachable members, and whether this side may use the whole quota."""
 
     unreachable: frozenset[int] = frozenset()
     has_quorum: bool = True
 
     def quota_share(self, ring: Sequence[int]) -> float:
-        """The part of the quota of a tenant whose requests come in by these members, 0 to 1."""
-        unreached = sum(number in self.unreachable for number in ring)
-        if self.has_quorum or not unreached:
+        """Usable share (0 to 1) of the quota of a tenant with these ring members."""
+        unreachable = sum(number in self.unreachable for number in ring)
+        if self.has_quorum or not unreachable:
             return 1.0
-        return MINORITY_SHARE * (len(ring) - unreached) / len(ring)
+        return MINORITY_SHARE * (len(ring) - unreachable) / len(ring)
 
 
 def detect_partition(
-    fleet: MembershipChanged, silences: Mapping[int, float], epoch_seconds: float
+    membership: MembershipChanged, silences: Mapping[int, float], epoch_seconds: float
 ) -> Partition:
-    """What follows from the membership and from the seconds for which each other member was not heard."""
-    unreached = fleet.unreachable | _silent(fleet, silences, epoch_seconds)
-    reached = fleet.alive - unreached
-    # a member that nobody hears is told that it has no quorum, whatever it hears itself
-    return Partition(unreached, fleet.has_quorum and _is_majority(reached, unreached))
+    """Combines the membership with the seconds since each other member was last seen."""
+    unreachable = membership.unreachable | _silent(membership, silences, epoch_seconds)
+    reachable = membership.alive - unreachable
+    # A member that no other one can reach is told that it has no quorum, whatever it receives itself.
+    return Partition(unreachable, membership.has_quorum and _is_majority(reachable, unreachable))
 
 
-def _silent(fleet: MembershipChanged, silences: Mapping[int, float], epoch_seconds: float) -> frozenset[int]:
-    """Those held for present and not heard.
+def _silent(
+    membership: MembershipChanged, silences: Mapping[int, float], epoch_seconds: float
+) -> frozenset[int]:
+    """Alive members that have been silent for too long.
 
-    One whose messages alone do not come is vouched for by others, and counts as present in the end; but while
-    anybody is missing the deaths behind a cut may still be on their way, which takes longer in larger fleets.
+    A member whose messages to this gateway alone are lost is kept alive by others and counts as reachable in
+    the end. While any member is unreachable, more deaths from the same partition may follow, later in larger
+    clusters.
     """
-    least = SILENT_EPOCHS * epoch_seconds
+    threshold = SILENT_EPOCHS * epoch_seconds
     return frozenset(
         number
         for number, silence in silences.items()
-        if number in fleet.alive
-        and silence >= least
-        and (fleet.unreachable or silence < MAX_UNEXPLAINED_SILENCE_SECONDS)
+        if number in membership.alive
+        and silence >= threshold
+        and (membership.unreachable or silence < MAX_UNEXPLAINED_SILENCE_SECONDS)
     )
 
 
-def _is_majority(reached: Set[int], unreached: Set[int]) -> bool:
-    """More than half of all, or just half with the lowest number: two sides can't both be."""
-    ours, theirs = len(reached), len(unreached)
-    return ours > theirs or (0 < ours == theirs and min(reached) < min(unreached))
+def _is_majority(reachable: Set[int], unreachable: Set[int]) -> bool:
+    """More than half, or exactly half with the lowest number, which only one side can be."""
+    ours, theirs = len(reachable), len(unreachable)
+    return ours > theirs or (0 < ours == theirs and min(reachable) < min(unreachable))
 
 
 def may_be_cut_off(silences: Collection[float], epoch_seconds: float) -> bool:
-    """Whether this member may be on the smaller side of a cut that nobody has noticed yet.
+    """Whether this member may be on the smaller side of a partition that was not detected yet.
 
-    `silences`: seconds for which each of the others that count as reached was not heard.
+    `silences`: seconds since each other reachable member was last seen.
     """
     silent = sum(silence >= SUSPICIOUS_EPOCHS * epoch_seconds for silence in silences)
     return 2 * silent >= len(silences) + 1
--- a/hoistfold/token_bucket.py
+++ b/hoistfold/token_bucket.py
@@ -1,10 +1,10 @@
-"""A token bucket: so many a second on average, and so many at once. No clock of its own."""
+"""A token bucket without a clock of its own."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """Starts full; times are in seconds of any clock that only advances."""
+    """Starts full; times are in seconds of any monotonic clock."""
 
     def __init__(self, per_second: float, capacity: float) -> None:
         self.per_second = per_second
@@ -13,12 +13,12 @@
         self.filled_at: float | None = None
 
     def level(self, now: float) -> float:
-        """The part of the capacity that is left, 0 to 1."""
+        """Remaining fraction of the capacity."""
         self._fill(now)
         return self.tokens / self.capacity
 
     def take(self, now: float, tokens: float) -> bool:
-        """Takes tokens if there are so many; False, and nothing taken, where there are not."""
+        """Takes tokens, or none and returns False if there are not enough."""
         self._fill(now)
         if self.tokens < tokens:
             return False
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -159,8 +159,8 @@
     sink, errors = io.StringIO(), io.StringIO()
     adapter = Adapter(io.StringIO(""), sink, errors)
     out: list[str] = []
-    for door in (0, 1):
-        start = f"NEW_INSTANCE Door={door} Seed=5 Info={json.dumps(INFO)}"
+    for instance in (0, 1):
+        start = f"NEW_INSTANCE Door={instance} Seed=5 Info={json.dumps(INFO)}"
         adapter.event(1.0, start, iter(()), out)
     adapter.gateways[1].handlers.clear()
     adapter.gateways[1].handlers[i.RequestArrived] = lambda event: 1 // 0
@@ -178,4 +178,4 @@
     adapter.event(1.0, f"NEW_INSTANCE Door=0 Seed=5 Info={json.dumps(INFO)}", iter(()), out)
     reply = "REPLY Door=0 Ticket=t Backend=b Go=0 LatencyUs=5 How=0 DoneFlag=1"
     adapter.event(2.0, reply, iter(()), out)
-    assert "malformed input: no attempt 0 of t is out" in errors.getvalue()
+    assert "malformed input: no attempt 0 of t is in flight" in errors.getvalue()
