--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -88,7 +88,7 @@
 )
 
 
-def answers(text: str) -> tuple[list[list[str]], str]:
+def run_adapter(text: str) -> tuple[list[list[str]], str]:
     sink, errors = io.StringIO(), io.StringIO()
     Adapter(io.StringIO(text), sink, errors).run()
     replies = [part.splitlines() for part in sink.getvalue().split("ACK ")]
@@ -100,17 +100,17 @@
     return f"BEGIN_BATCH NowUs={1000000 + serial * 2000} serial={serial}\n{body}END\n"
 
 
-def test_a_request_is_sent_on_and_its_outcome_taken() -> None:
+def test_a_request_is_sent_and_its_outcome_handled() -> None:
     reply = "REPLY Door=1 Ticket=t1 Backend=srv Go=0 LatencyUs=1800 How=0 DoneFlag=1 Usage=0.62"
-    replies, errors = answers(START + batch(1, CALL.format(1)) + batch(2, reply) + batch(3))
+    replies, errors = run_adapter(START + batch(1, CALL.format(1)) + batch(2, reply) + batch(3))
     assert any(line.startswith("TRANSMIT Door=1 Ticket=t1 Backend=srv") for line in replies[1])
     assert replies[2:] == [["serial=1"], ["serial=2"], ["serial=3"]] or replies[2][0] == "serial=1"
     assert errors == ""
 
 
-def test_two_lives_in_one_batch() -> None:
+def test_an_instance_restarted_within_one_batch() -> None:
     again = f"NEW_INSTANCE Door=1 Seed=8 Info={json.dumps(INFO)}"
-    replies, errors = answers(START + batch(1, CALL.format(1), "EXIT Door=1", again, CALL.format(2)))
+    replies, errors = run_adapter(START + batch(1, CALL.format(1), "EXIT Door=1", again, CALL.format(2)))
     lines = [line for reply in replies for line in reply]
     assert any("Ticket=t1 " in line and line.startswith("TRANSMIT") for line in lines)
     assert any(line.startswith("SHED Door=1 Ticket=t2") for line in lines)  # no list yet
@@ -131,8 +131,8 @@
         "REMINDER Door=4 Handle=1",
     ],
 )
-def test_malformed_input_is_named(line: str) -> None:
-    replies, errors = answers(START + batch(1, line))
+def test_malformed_input_is_reported(line: str) -> None:
+    replies, errors = run_adapter(START + batch(1, line))
     assert any(text.startswith("CRASH Door=") for reply in replies for text in reply)
     assert "malformed input" in errors
 
@@ -155,7 +155,7 @@
     assert "TRANSMIT" in outputs.pop()
 
 
-def test_a_fault_of_the_module_is_named_as_such_and_ends_its_instance_alone() -> None:
+def test_a_fault_of_the_module_is_reported_and_ends_only_its_instance() -> None:
     sink, errors = io.StringIO(), io.StringIO()
     adapter = Adapter(io.StringIO(""), sink, errors)
     out: list[str] = []
--- a/tests/test_call_budget.py
+++ b/tests/test_call_budget.py
@@ -14,7 +14,7 @@
 FULL = (i.Outcome.FULL, 0.01)
 
 
-def told(budget: CallBudget, since: float, *ends: tuple[i.Outcome, float]) -> float:
+def share_after(budget: CallBudget, since: float, *ends: tuple[i.Outcome, float]) -> float:
     """The ends of calls, one after another; returns the share that is asked for after that."""
     for number, (outcome, latency) in enumerate(ends):
         budget.call_ended(since + 0.1 * number, outcome, latency)
@@ -22,21 +22,21 @@
 
 
 @pytest.mark.parametrize("end", [SLOW, SILENT, FULL])
-def test_a_counter_that_is_pressed_or_silent_is_asked_less(end: tuple[i.Outcome, float]) -> None:
+def test_a_slow_or_silent_counter_gets_fewer_calls(end: tuple[i.Outcome, float]) -> None:
     budget = CallBudget(LIMIT)
-    assert told(budget, 10.0, *[end] * 5) < 0.2
-    assert told(budget, 11.0, *[end] * 30) == MIN_SHARE
+    assert share_after(budget, 10.0, *[end] * 5) < 0.2
+    assert share_after(budget, 11.0, *[end] * 30) == MIN_SHARE
 
 
-def test_one_slow_queue_makes_the_share_fall_once() -> None:
+def test_one_slow_queue_decreases_the_share_once() -> None:
     budget = CallBudget(LIMIT)
     for _ in range(20):
         budget.call_ended(10.0, *SLOW)
     assert budget.share == pytest.approx(0.7)
 
 
-def test_the_share_grows_with_the_answers_in_time_alone() -> None:
+def test_the_share_grows_only_with_answers_in_time() -> None:
     budget = CallBudget(LIMIT)
-    told(budget, 10.0, *[FULL] * 30)
-    assert told(budget, 20.0, *[QUICK] * 40) == pytest.approx(MIN_SHARE + 0.5)
-    assert told(budget, 99.0, *[QUICK] * 40) == 1.0
+    share_after(budget, 10.0, *[FULL] * 30)
+    assert share_after(budget, 20.0, *[QUICK] * 40) == pytest.approx(MIN_SHARE + 0.5)
+    assert share_after(budget, 99.0, *[QUICK] * 40) == 1.0
--- a/tests/test_coordinators.py
+++ b/tests/test_coordinators.py
@@ -13,8 +13,8 @@
 from hoistfold.state import COUNTS_PER_UNIT, MessageKind, Quota, primary_coordinator_index
 from hoistfold.token_bucket import TokenBucket
 from lab.tenants import CHAMBERS, Tenant, TenantFleet
-from tests.test_ring import keepers_of, key_of
-from tests.world import BASIC, CAPPED, LongRing, backend, listed, of, request, sends
+from tests.test_ring import coordinators_of, key_of
+from tests.world import BASIC, CAPPED, LongRing, actions_of, backend, listed, request, sends
 
 WARM_UP_SECONDS = 3.0
 
@@ -24,7 +24,9 @@
 
 @pytest.mark.parametrize("intake", [40.0, 100.0])
 @pytest.mark.parametrize(("gateways", "load"), [(3, 1.0), (8, 1.0), (32, 1.0), (200, 0.25)])
-def test_messages_follow_the_intake_and_quotas_stay_open(gateways: int, load: float, intake: float) -> None:
+def test_messages_stay_within_the_intake_and_quotas_stay_usable(
+    gateways: int, load: float, intake: float
+) -> None:
     """With 32 gateways and an intake of 40 a fifth of the tries inside was refused with half unused."""
     fleet = TenantFleet(gateways, intake=intake, load=load)
     fleet.settle(WARM_UP_SECONDS)
@@ -78,180 +80,180 @@
 
 def coordinator_and_member(ring: LongRing) -> tuple[int, int]:
     """The primary coordinator of the common tenant, and a member that is none."""
-    keepers = keepers_of(ring)
-    return keepers[0], next(n for n in range(250, 300) if n not in keepers)
+    coordinators = coordinators_of(ring)
+    return coordinators[0], next(n for n in range(250, 300) if n not in coordinators)
 
 
 def common_quota(ring: LongRing, number: int) -> Quota:
     """What a gateway keeps of the common tenant."""
-    return ring.live[number].quotas[key_of("basic c1")]
+    return ring.gateways[number].quotas[key_of("basic c1")]
 
 
-def with_a_lease() -> tuple[LongRing, int, int]:
+def ring_with_lease() -> tuple[LongRing, int, int]:
     """A ring, a coordinator and a member that was granted one unit more than it asked for."""
     ring = LongRing()
     coordinator, member = coordinator_and_member(ring)
     ring.now += 100.0
-    gateway = ring.live[member]
+    gateway = ring.gateways[member]
     gateway.now = ring.now
     gateway.quota_of(key_of("basic c1"), BASIC, 250, 100).own_rate = 8.0  # busy of late
-    assert ring.ask(member, "a")
+    assert ring.submit(member, "a")
     return ring, coordinator, member
 
 
-def test_units_granted_ahead_and_not_used_are_given_back_at_the_next_ask() -> None:
-    ring, coordinator, member = with_a_lease()
+def test_unused_units_of_a_lease_are_returned_with_the_next_request() -> None:
+    ring, coordinator, member = ring_with_lease()
     quota, at_coordinator = common_quota(ring, member), common_quota(ring, coordinator)
     assert quota.lease == 1.0
     assert at_coordinator.member_use == 2.0
-    assert ring.ask(member, "b")  # by the lease, with no message
+    assert ring.submit(member, "b")  # by the lease, with no message
     assert quota.lease == 0.0
     assert at_coordinator.counts[quota.index] == quota.counts[quota.index] == 2 * COUNTS_PER_UNIT
     quota.own_rate = 8.0
-    assert ring.ask(member, "c")
+    assert ring.submit(member, "c")
     assert at_coordinator.counts[quota.index] == 4 * COUNTS_PER_UNIT
     quota.lease_expires_at, quota.own_rate = ring.now, 0.0  # it runs out unused
     used_before = at_coordinator.member_use
-    assert ring.ask(member, "d")
+    assert ring.submit(member, "d")
     assert at_coordinator.counts[quota.index] == quota.counts[quota.index] == 4 * COUNTS_PER_UNIT
     assert at_coordinator.member_use < used_before  # one came back, one was taken, and time has passed
 
 
-def test_use_told_while_a_lease_is_out_gives_nothing_of_it_back() -> None:
+def test_a_report_during_a_lease_does_not_return_its_units() -> None:
     """The member may use the lease all the same, and the coordinator would grant its units again."""
-    ring, coordinator, member = with_a_lease()
-    gateway = ring.live[member]
+    ring, coordinator, member = ring_with_lease()
+    gateway = ring.gateways[member]
     quota, at_coordinator = common_quota(ring, member), common_quota(ring, coordinator)
     assert quota.lease == 1.0
     report = pack_entry(gateway.settings.plans, quota, MessageKind.REPORT, quota.index, quota.own)
-    ring.live[coordinator].handle(ring.now, i.PeerMessage(member, encode_message(report)))
+    ring.gateways[coordinator].handle(ring.now, i.PeerMessage(member, encode_message(report)))
     assert at_coordinator.counts[quota.index] == quota.counts[quota.index] + COUNTS_PER_UNIT
 
 
-def test_requests_that_come_while_a_total_is_asked_for_wait_for_it() -> None:
+def test_requests_that_arrive_during_an_acquisition_wait_for_it() -> None:
     """Of a plan with a ceiling they were refused, as an even share of it was less than one request."""
     ring = LongRing(60, plans=(CAPPED,), max_units=1.0)
     ring.now += 60.0
     key = key_of("capped c1")
-    gateway = ring.live[20]
+    gateway = ring.gateways[20]
     quota = gateway.quota_of(key, CAPPED, 10, 40)
     coordinators = gateway.members(quota, primary_coordinator_index(quota))[:2]
     member = next(n for n in range(10, 50) if n not in coordinators)
-    gateway = ring.live[member]
+    gateway = ring.gateways[member]
     gateway.handle(ring.now, listed(*(backend(f"b{n}") for n in range(60))))
     events = [request(f"r{n}", plan="capped", ring_size=40, ring_first=10) for n in range(3)]
     actions = [gateway.handle(ring.now, event) for event in events]
-    assert not any(of(some, i.Refuse) or sends(some) for some in actions)
-    done = ring.pass_on(member, actions[0])
+    assert not any(actions_of(some, i.Refuse) or sends(some) for some in actions)
+    done = ring.deliver(member, actions[0])
     assert [send.request for send in sends(done)] == ["r0", "r1", "r2"]
-    assert not of(done, i.Refuse)
+    assert not actions_of(done, i.Refuse)
 
 
-def test_no_more_than_so_many_requests_wait() -> None:
+def test_the_queue_of_waiting_requests_is_bounded() -> None:
     ring = LongRing()
     _, member = coordinator_and_member(ring)
-    gateway = ring.live[member]
+    gateway = ring.gateways[member]
     for n in range(3 * MAX_QUEUED):
         gateway.handle(ring.now, request(f"r{n}", ring_size=100, ring_first=250))
     assert len(gateway.quotas[key_of("basic c1")].queued) == MAX_QUEUED
 
 
-def test_one_lost_answer_does_not_cost_a_coordinator_its_place() -> None:
+def test_a_coordinator_is_skipped_only_after_two_lost_replies() -> None:
     ring = LongRing()
     coordinator, member = coordinator_and_member(ring)
-    gateway = ring.live[member]
-    ring.dead = {coordinator}
-    assert ring.ask(member, "a")  # by the next coordinator
+    gateway = ring.gateways[member]
+    ring.unreachable = {coordinator}
+    assert ring.submit(member, "a")  # by the next coordinator
     assert gateway.reachable(coordinator)
-    assert ring.ask(member, "b")
+    assert ring.submit(member, "b")
     assert not gateway.reachable(coordinator)
     gateway.now += SKIP_SECONDS + 0.1
     assert gateway.reachable(coordinator)
 
 
-def test_without_a_budget_a_tenant_far_from_its_quota_is_admitted_and_told_later() -> None:
+def test_without_budget_low_use_is_admitted_and_reported_later() -> None:
     ring = LongRing(peer_intake=5.0)
     coordinator, member = coordinator_and_member(ring)
-    gateway = ring.live[member]
+    gateway = ring.gateways[member]
     ring.now += 100.0
-    assert ring.ask(member, "a")
+    assert ring.submit(member, "a")
     gateway.coordination.budget.take(ring.now, gateway.coordination.budget.tokens)
     actions = gateway.handle(ring.now, request("b", ring_size=100, ring_first=250))
     assert sends(actions)
-    assert not of(actions, i.SendPeerMessage)
+    assert not actions_of(actions, i.SendPeerMessage)
     assert key_of("basic c1") in gateway.coordination.unreported[coordinator]
     ring.now += 10.0  # the budget is back: the next ask tells of both
-    assert ring.ask(member, "c")
+    assert ring.submit(member, "c")
     assert key_of("basic c1") not in gateway.coordination.unreported[coordinator]
     place = gateway.quotas[key_of("basic c1")].index
-    assert ring.live[coordinator].quotas[key_of("basic c1")].counts[place] >= 3 * 4
+    assert ring.gateways[coordinator].quotas[key_of("basic c1")].counts[place] >= 3 * 4
 
 
-def test_with_a_short_budget_those_far_from_their_quota_leave_it_to_the_others() -> None:
+def test_with_a_low_budget_tenants_with_low_use_send_no_messages() -> None:
     ring = LongRing()
     _, member = coordinator_and_member(ring)
-    gateway = ring.live[member]
+    gateway = ring.gateways[member]
     budget = gateway.coordination.budget
     ring.now += 100.0
-    assert ring.ask(member, "known")
+    assert ring.submit(member, "known")
     assert budget.take(ring.now, 0.7 * budget.capacity)
-    before = ring.bytes
-    assert ring.ask(member, "far")
-    assert ring.bytes == before
-    assert ring.ask(member, "unknown", tenant="c2")
-    assert ring.bytes > before
+    before = ring.bytes_sent
+    assert ring.submit(member, "far")
+    assert ring.bytes_sent == before
+    assert ring.submit(member, "unknown", tenant="c2")
+    assert ring.bytes_sent > before
 
 
-def test_the_secondary_is_told_of_the_use_also_where_the_budget_is_short() -> None:
+def test_use_is_reported_to_the_secondary_with_a_low_budget_too() -> None:
     ring = LongRing()
-    coordinators = keepers_of(ring)
+    coordinators = coordinators_of(ring)
     _, member = coordinator_and_member(ring)
-    gateway = ring.live[member]
+    gateway = ring.gateways[member]
     budget = gateway.coordination.budget
     ring.now += 100.0
     assert budget.take(ring.now, 0.45 * budget.capacity)
-    assert ring.ask(member, "a")
+    assert ring.submit(member, "a")
     assert key_of("basic c1") in gateway.coordination.unreported[coordinators[1]]
     ring.now += 100.0
-    ring.dead = {coordinators[0]}
-    assert ring.ask(member, "b")  # asked by the secondary: the use goes with it
+    ring.unreachable = {coordinators[0]}
+    assert ring.submit(member, "b")  # asked by the secondary: the use goes with it
     assert key_of("basic c1") not in gateway.coordination.unreported[coordinators[1]]
 
 
-def test_silence_of_all_coordinators_does_not_lengthen_the_pause() -> None:
+def test_missing_replies_do_not_extend_the_pause() -> None:
     """Only a word that there is no room does: lost messages closed tenants for seconds."""
     ring = LongRing(plans=(CAPPED,), max_units=1.0)
     ring.now += 60.0
-    ring.dead = set(ring.live) - {255}
+    ring.unreachable = set(ring.gateways) - {255}
     for turn in range(4):
-        ring.ask(255, f"r{turn}", plan="capped")
-    quota = ring.live[255].quotas[key_of("capped c1")]
+        ring.submit(255, f"r{turn}", plan="capped")
+    quota = ring.gateways[255].quotas[key_of("capped c1")]
     assert quota.refusals == 0
     assert quota.blocked_until <= ring.now
 
 
-def test_nothing_is_asked_for_a_request_that_no_backend_can_take() -> None:
+def test_no_message_is_sent_for_a_request_without_a_usable_backend() -> None:
     """What was refused for want of a backend had its units reserved and cost up to four messages."""
     ring = LongRing()
     _, member = coordinator_and_member(ring)
-    gateway = ring.live[member]
+    gateway = ring.gateways[member]
     gateway.handle(ring.now, i.BackendsListed(i.ListKind.FULL, ()))
     actions = gateway.handle(ring.now, request("r", ring_size=100, ring_first=250))
-    assert of(actions, i.Refuse)
-    assert not of(actions, i.SendPeerMessage)
+    assert actions_of(actions, i.Refuse)
+    assert not actions_of(actions, i.SendPeerMessage)
 
 
-def test_a_silent_primary_leaves_the_secondary_only_its_part_of_a_ceiling() -> None:
+def test_the_secondary_grants_only_its_part_of_a_ceiling() -> None:
     plans = (BASIC, CAPPED)
     ring = LongRing(plans=plans, max_units=1.0)
     key = key_of("capped c1")
-    quota = ring.live[255].quota_of(key, CAPPED, 250, 100)
-    members = ring.live[255].members(quota, primary_coordinator_index(quota))
+    quota = ring.gateways[255].quota_of(key, CAPPED, 250, 100)
+    members = ring.gateways[255].members(quota, primary_coordinator_index(quota))
     ring.now += 60.0
-    ring.dead = {members[0]}
+    ring.unreachable = {members[0]}
     taken = 0
     for turn in range(60):  # sixty requests in twelve seconds, at members that are no coordinators
-        taken += ring.ask(members[10 + turn], f"r{turn}", plan="capped")
+        taken += ring.submit(members[10 + turn], f"r{turn}", plan="capped")
     parts = ceiling_shares(CAPPED)
     allowed = (parts.secondary + parts.members) * (CAPPED.ceiling_burst + 12.0 * CAPPED.ceiling_rate)
     assert 0 < taken <= allowed
@@ -260,7 +262,7 @@
 # The parts, each on its own.
 
 
-def test_the_parts_of_a_ceiling_are_one_ceiling_and_the_first_holds_the_quota() -> None:
+def test_the_shares_of_a_ceiling_add_up_and_the_primary_covers_the_quota() -> None:
     for burst_factor in (1.0, 1.2, 1.7, 2.5, 10.0):
         plan = replace(
             CAPPED, ceiling_rate=CAPPED.rate * burst_factor, ceiling_burst=CAPPED.burst * burst_factor
@@ -284,7 +286,7 @@
     assert bucket.level(999.0) == 1.0  # a clock that goes back adds nothing
 
 
-def test_a_tenant_stands_as_its_plan_says() -> None:
+def test_the_window_of_a_simulated_tenant_drains_at_its_rate() -> None:
     tenant = Tenant("t", CHAMBERS, 0, 2, [1.0, 1.0], 1.0, 1.0, 0.0, level=20.0)
     assert tenant.used(1.0) == 2.0
     assert tenant.used(2.0) == 0.0
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -25,7 +25,7 @@
 from standflow.tally import MAX_HOPS, Tally
 from tests.test_connections import Recorder
 from tests.wire import config, listener, read_until, run_until
-from tests.world import sealed
+from tests.world import with_checksum
 
 
 class ScriptedDriver:
@@ -83,7 +83,7 @@
     began = scripted.at.loop.now()
     scripted.driver.peer_message_received(1, b"garbled")
     assert max(scripted.driver.peers_last_seen()) < began
-    scripted.driver.peer_message_received(1, sealed(b""))
+    scripted.driver.peer_message_received(1, with_checksum(b""))
     assert sum(at >= began for at in scripted.driver.peers_last_seen()) == 1
     scripted.at.close()
 
--- a/tests/test_fleet_quotas.py
+++ b/tests/test_fleet_quotas.py
@@ -17,12 +17,12 @@
 from standflow.config.model import Address
 from standflow.recovery.records import Record
 from standflow.recovery.trust import BootClock, Plan, select_trusted
-from tests.world import BASIC, Pair, backend, listed, of, started
+from tests.world import BASIC, PeerNetwork, actions_of, backend, listed, started
 
 SIZE, RATE, BURST = 5, 2.0, 10.0  # of world.BASIC
 
 
-class Ring(Pair):
+class Ring(PeerNetwork):
     """Modules whose membership is kept by members in simulated time, on one network that can be cut."""
 
     def __init__(
@@ -30,44 +30,44 @@
     ) -> None:
         self.size = size
         self.members = Members(size, seed, loss=loss) if membership else None
-        self.chance, self.loss = random.Random(9), loss
+        self.random, self.loss = random.Random(9), loss
         self.blocked: Callable[[int, int], bool] = lambda sender, to: False
-        self.told: dict[int, i.MembershipChanged] = {}
-        self.tries: list[Try] = []
+        self.notified: dict[int, i.MembershipChanged] = {}
+        self.requests: list[Try] = []
         super().__init__(size, peer_intake=100.0, membership=membership, **changes)
         self.now = 1e6
 
     def deliver(self, sender: int, actions: list[i.Action]) -> None:
-        for action in of(actions, i.SendPeerMessage):
+        for action in actions_of(actions, i.SendPeerMessage):
             to = action.peer
-            if to in self.live and not self.blocked(sender, to) and self.chance.random() >= self.loss:
-                self.deliver(to, self.live[to].handle(self.now, i.PeerMessage(sender, action.content)))
+            if to in self.gateways and not self.blocked(sender, to) and self.random.random() >= self.loss:
+                self.deliver(to, self.gateways[to].handle(self.now, i.PeerMessage(sender, action.content)))
                 if self.members is not None and to in self.members.live:
                     self.members.live[to].note_ring_datagram(self.now, sender)
 
-    def play(
+    def run(
         self, seconds: float, asked: dict[str, float], weights: tuple[float, ...] = (3, 3, 2, 2, 2)
     ) -> None:
         """Lets time pass, with tenants that ask so many times the rate through all of those that live."""
         due = sorted(
             (self.now + at, tenant)
             for tenant, times in asked.items()
-            for at in _arrivals(self.chance, seconds, times * RATE)
+            for at in _arrivals(self.random, seconds, times * RATE)
         )
         for at, tenant in due:
-            self._pass(at)
-            number = self.chance.choices(range(self.size), weights)[0]
-            if number in self.live:
-                ran = self.ask(number, f"r{len(self.tries)}", tenant=tenant, ring_size=self.size)
-                self.tries.append(Try(at, tenant, 1.0, ran))
-        self._pass(self.now + 0.0)
-
-    def _pass(self, until: float) -> None:
+            self.advance(at)
+            number = self.random.choices(range(self.size), weights)[0]
+            if number in self.gateways:
+                ran = self.submit(number, f"r{len(self.requests)}", tenant=tenant, ring_size=self.size)
+                self.requests.append(Try(at, tenant, 1.0, ran))
+        self.advance(self.now + 0.0)
+
+    def advance(self, until: float) -> None:
         while self.now + 0.1 <= until:
-            self.epochs(1)
-            self._pass_members()
+            self.run_epochs(1)
+            self.advance_members()
 
-    def _pass_members(self) -> None:
+    def advance_members(self) -> None:
         if self.members is not None and self.now - self.members.now > 0.099:
             self.members.blocked = self.blocked
             self.members.run(self.now - self.members.now)
@@ -77,25 +77,25 @@
                     seen.alive, seen.unreachable, seen.has_quorum, seen.slow_start_members, seen.returned
                 )
                 known = membership.joined and not membership.waiting  # as in standflow/fleet/member.py
-                if number in self.live and known and event != self.told.get(number):
-                    self.told[number] = event
-                    self.deliver(number, self.live[number].handle(self.now, event))
+                if number in self.gateways and known and event != self.notified.get(number):
+                    self.notified[number] = event
+                    self.deliver(number, self.gateways[number].handle(self.now, event))
 
-    def cut(self, *side: int) -> None:
+    def partition(self, *side: int) -> None:
         self.blocked = lambda sender, to: (sender in side) != (to in side)
 
     def kill(self, *numbers: int) -> None:
         for number in numbers:
-            del self.live[number]
+            del self.gateways[number]
             if self.members is not None:
                 self.members.kill(number)
 
-    def lose_all(self, away: float, store: bool = True) -> None:
+    def restart_all(self, away: float, store: bool = True) -> None:
         """All end at one moment, and come back so much later; with the store, with what that kept."""
         assert self.members is not None
         plans = {BASIC.name: Plan(BASIC.burst, BASIC.rate)}
         kept: dict[int, tuple[list[Record], dict[int, tuple[int, Address | None]]]] = {}
-        for number, gateway in self.live.items():
+        for number, gateway in self.gateways.items():
             rows = handover.used_windows(gateway, self.now - 10.0)
             use = [Record("use", row[0], row[1:], "boot", self.now) for row in rows]
             membership = self.members.live[number]
@@ -103,8 +103,8 @@
                 update.member_id: (update.boot_time_ms, None) for update in membership.counted_updates()
             }
             kept[number] = use, lives
-        self.kill(*list(self.live))
-        self.told.clear()
+        self.kill(*list(self.gateways))
+        self.notified.clear()
         self.members.run(away)
         self.now += away
         for number, (use, lives) in kept.items():
@@ -112,10 +112,10 @@
             self.members.start(number).restore_members(lives)
             found = select_trusted(use if store else [], BootClock("boot", self.now), plans)
             rows = [[w.key, w.plan, w.first, w.size, w.own, w.others] for w in found.windows]
-            handover.restore_windows(self.live[number], self.now, rows)
+            handover.restore_windows(self.gateways[number], self.now, rows)
 
     def verdict(self) -> Verdict:
-        return judge(self.tries, RATE, BURST)
+        return judge(self.requests, RATE, BURST)
 
 
 def _arrivals(chance: random.Random, seconds: float, rate: float) -> list[float]:
@@ -125,62 +125,66 @@
     return times
 
 
-HARD = {f"heavy{n}": 4.0 for n in range(2)} | {f"calm{n}": 0.3 for n in range(3)}
-ASKED = {f"heavy{n}": 3.0 for n in range(3)} | {f"calm{n}": 0.3 for n in range(5)}
+HEAVY_LOAD = {f"heavy{n}": 4.0 for n in range(2)} | {f"calm{n}": 0.3 for n in range(3)}
+MIXED_LOAD = {f"heavy{n}": 3.0 for n in range(3)} | {f"calm{n}": 0.3 for n in range(5)}
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.065])
-def test_a_cut_of_10_s_spends_at_most_110_percent_and_without_members_half_as_much_again(loss: float) -> None:
+def test_a_partition_of_10_s_overruns_by_at_most_10_percent_and_without_membership_by_more_than_30(
+    loss: float,
+) -> None:
     use = {}
     for membership in (True, False):
         ring = Ring(membership, loss)
-        ring.play(8.0, ASKED)
-        ring.cut(3, 4)
-        ring.play(10.0, ASKED)
+        ring.run(8.0, MIXED_LOAD)
+        ring.partition(3, 4)
+        ring.run(10.0, MIXED_LOAD)
         ring.blocked = lambda sender, to: False
-        ring.play(10.0, ASKED)
+        ring.run(10.0, MIXED_LOAD)
         use[membership] = ring.verdict().use
     assert use[True] <= 1.10
     assert use[False] > 1.3  # what the membership is for
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_loss_of_all_in_the_middle_of_a_cut_spends_at_most_110_percent(seed: int) -> None:
+def test_a_restart_of_all_during_a_partition_overruns_by_at_most_10_percent(seed: int) -> None:
     ring = Ring()
-    ring.chance.seed(seed)
-    ring.play(8.0, HARD)
-    ring.cut(3, 4)
-    ring.play(3.0, HARD)
-    ring.lose_all(0.5)
-    ring.play(4.0, HARD)
+    ring.random.seed(seed)
+    ring.run(8.0, HEAVY_LOAD)
+    ring.partition(3, 4)
+    ring.run(3.0, HEAVY_LOAD)
+    ring.restart_all(0.5)
+    ring.run(4.0, HEAVY_LOAD)
     ring.blocked = lambda sender, to: False
-    ring.play(10.0, HARD)
+    ring.run(10.0, HEAVY_LOAD)
     assert ring.verdict().use <= 1.10
 
 
-def _use_of_the_smaller_side_after_a_loss_of_all(seed: int, cut_for: float) -> float:
+def _minority_use_after_restart_of_all(seed: int, cut_for: float) -> float:
     """Units in the worst 10 s after a loss of all, so long into a cut, once all earlier use has drained."""
     ring = Ring(seed=seed, max_units=1.0)
-    ring.play(8.0, HARD)
-    ring.cut(3, 4)
-    ring._pass(ring.now + cut_for)
-    ring.lose_all(6.0)
-    ring.tries.clear()
+    ring.run(8.0, HEAVY_LOAD)
+    ring.partition(3, 4)
+    ring.advance(ring.now + cut_for)
+    ring.restart_all(6.0)
+    ring.requests.clear()
     for _ in range(100):
-        ring._pass(ring.now + 0.1)
+        ring.advance(ring.now + 0.1)
         for number in (3, 4):
-            ran = ring.ask(number, f"r{len(ring.tries)}", tenant="one", ring_size=SIZE)
-            ring.tries.append(Try(ring.now, "one", 1.0, ran))
+            ran = ring.submit(number, f"r{len(ring.requests)}", tenant="one", ring_size=SIZE)
+            ring.requests.append(Try(ring.now, "one", 1.0, ran))
     return ring.verdict().use * (BURST + 10.0 * RATE)
 
 
 # Of two members: their part, a request each as one must fit, and each its allowance, which is a request of
 # the most units (one), until the others' use is known.
-MOST_AFTER_A_LOSS = MINORITY_SHARE * 2 / SIZE * (BURST + 10.0 * RATE) + 2 + 2
+MAX_USE_AFTER_RESTART = MINORITY_SHARE * 2 / SIZE * (BURST + 10.0 * RATE) + 2 + 2
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_who_restarts_in_a_cut_waits_for_the_membership_before_it_takes_the_whole_quota(seed: int) -> None:
+def test_a_member_restarted_in_a_partition_waits_for_the_membership_before_it_uses_the_whole_quota(
+    seed: int,
+) -> None:
     """After a loss of all in a cut each side spent the whole quota in the first 0.8 s.
 
     What happens: all end, and come back when the windows they knew have drained. Each side hears its own
@@ -189,46 +193,46 @@
     one member that is heard is enough. What showed it: in the log of member 4, cut off with 5 from four,
     five admissions between 9.03 and 9.28 with the whole quota, no membership told yet and nobody but 5 heard.
     """
-    assert 0 < _use_of_the_smaller_side_after_a_loss_of_all(seed, cut_for=0.5) <= MOST_AFTER_A_LOSS
+    assert 0 < _minority_use_after_restart_of_all(seed, cut_for=0.5) <= MAX_USE_AFTER_RESTART
 
 
-def test_who_takes_over_from_another_process_goes_by_what_that_one_knew() -> None:
+def test_a_successor_process_relies_on_the_imported_state() -> None:
     ring = Ring(max_units=1.0)
-    ring._pass(ring.now + 3.0)
-    told = handover.export_state(ring.live[0])
+    ring.advance(ring.now + 3.0)
+    told = handover.export_state(ring.gateways[0])
     for took_over in (True, False):
         ring.restart(0)  # its membership has not spoken yet
         if took_over:
-            handover.import_state(ring.live[0], told)
-        ring.live[1].handle(ring.now, i.TimerFired(0))
-        ring.deliver(1, ring.live[1].handle(ring.now, i.TimerFired(0)))
-        ran = sum(ring.ask(0, f"{took_over}{n}", tenant="one", ring_size=SIZE) for n in range(8))
+            handover.import_state(ring.gateways[0], told)
+        ring.gateways[1].handle(ring.now, i.TimerFired(0))
+        ring.deliver(1, ring.gateways[1].handle(ring.now, i.TimerFired(0)))
+        ran = sum(ring.submit(0, f"{took_over}{n}", tenant="one", ring_size=SIZE) for n in range(8))
         assert ran == (8 if took_over else 1)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_the_larger_side_serves_again_when_the_membership_has_spoken_and_totals_had_their_time(
+def test_the_majority_serves_again_once_membership_and_totals_are_known(
     seed: int,
 ) -> None:
     """Both times run from the first member that is heard, not one after the other."""
     ring = Ring(seed=seed, max_units=1.0)
-    ring.play(8.0, HARD)
-    ring.cut(3, 4)
-    ring._pass(ring.now + 0.5)
-    ring.lose_all(6.0)
-    ring._pass(ring.now + 1.3)
-    assert sum(ring.ask(0, f"a{n}", tenant="one", ring_size=SIZE) for n in range(8)) == 8
+    ring.run(8.0, HEAVY_LOAD)
+    ring.partition(3, 4)
+    ring.advance(ring.now + 0.5)
+    ring.restart_all(6.0)
+    ring.advance(ring.now + 1.3)
+    assert sum(ring.submit(0, f"a{n}", tenant="one", ring_size=SIZE) for n in range(8)) == 8
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_the_store_knows_of_members_behind_a_cut_also_once_they_are_held_for_dead(seed: int) -> None:
+def test_the_store_keeps_partitioned_members_after_they_are_declared_dead(seed: int) -> None:
     """The smaller side came back from a loss of all as a whole fleet of its own, until the cut was healed.
 
     What happens: the members behind the cut are held for dead, then all end and come back. Both sides serve
     with the whole quota. Why: only members that were alive were kept for the next start, so that nobody was
     missing after it. What showed it: this test, by a use of 30 units in 10 s where 5 are the most.
     """
-    assert 0 < _use_of_the_smaller_side_after_a_loss_of_all(seed, cut_for=9.0) <= MOST_AFTER_A_LOSS
+    assert 0 < _minority_use_after_restart_of_all(seed, cut_for=9.0) <= MAX_USE_AFTER_RESTART
 
 
 class OwnEpochs(Ring):
@@ -238,152 +242,152 @@
 
     def __init__(self, seed: int, size: int = 6) -> None:
         super().__init__(seed=seed, size=size, max_units=1.0, plans=(self.plan,))
-        self.chance.seed(seed)
+        self.random.seed(seed)
         self.next_epochs: dict[int, float] = {}
 
-    def _pass(self, until: float) -> None:
+    def advance(self, until: float) -> None:
         while True:
-            for number, gateway in self.live.items():
-                self.next_epochs.setdefault(number, self.now + gateway.epoch * self.chance.random())
-            number = min(self.live, key=self.next_epochs.__getitem__)
+            for number, gateway in self.gateways.items():
+                self.next_epochs.setdefault(number, self.now + gateway.epoch * self.random.random())
+            number = min(self.gateways, key=self.next_epochs.__getitem__)
             if self.next_epochs[number] > until:
                 break
             self.now = max(self.now, self.next_epochs[number])
-            pause = self.live[number].epoch * self.chance.uniform(
+            pause = self.gateways[number].epoch * self.random.uniform(
                 1.0, 1.15
             )  # timers are late, and never early
             self.next_epochs[number] = self.now + pause
-            self.deliver(number, self.live[number].handle(self.now, i.TimerFired(0)))
-            self._pass_members()
+            self.deliver(number, self.gateways[number].handle(self.now, i.TimerFired(0)))
+            self.advance_members()
         self.now = max(self.now, until)
 
-    def play(self, seconds: float, asked: dict[str, float], weights: tuple[float, ...] = ()) -> None:
+    def run(self, seconds: float, asked: dict[str, float], weights: tuple[float, ...] = ()) -> None:
         end = self.now + seconds
-        super().play(seconds, asked, weights or (1.0,) * self.size)
-        self._pass(end)
+        super().run(seconds, asked, weights or (1.0,) * self.size)
+        self.advance(end)
 
-    def lose_all(self, away: float, store: bool = True) -> None:
-        super().lose_all(away, store)
+    def restart_all(self, away: float, store: bool = True) -> None:
+        super().restart_all(away, store)
         self.next_epochs.clear()
 
     def verdict(self) -> Verdict:
-        return judge(self.tries, self.plan.rate, self.plan.burst)
+        return judge(self.requests, self.plan.rate, self.plan.burst)
 
 
 @pytest.mark.parametrize("number", range(40))
-def test_a_loss_of_all_in_a_cut_where_a_round_of_the_ring_takes_several_epochs(number: int) -> None:
+def test_a_restart_of_all_in_a_partition_where_a_round_of_the_ring_takes_several_epochs(number: int) -> None:
     # The power case of tests/test_power.py in simulated time: after it several members spent one quota.
     # times RATE: 16 and 1.2 requests a second, under a plan of 4
     heavy = {f"heavy{n}": 8.0 for n in range(2)} | {f"calm{n}": 0.6 for n in range(4)}
     ring = OwnEpochs(number)
-    ring._pass(ring.now + 3.0)
-    ring.play(3.0, heavy)
-    ring.cut(4, 5)
-    ring.play(3.0, heavy)
-    ring.lose_all(0.5)
-    ring.play(3.5, heavy)
+    ring.advance(ring.now + 3.0)
+    ring.run(3.0, heavy)
+    ring.partition(4, 5)
+    ring.run(3.0, heavy)
+    ring.restart_all(0.5)
+    ring.run(3.5, heavy)
     ring.blocked = lambda sender, to: False
-    ring.play(5.0, heavy)
+    ring.run(5.0, heavy)
     assert ring.verdict().use <= 1.10
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_what_is_left_of_a_pressed_quota_is_not_taken_by_both_sides_before_a_cut_is_noticed(
+def test_the_rest_of_a_nearly_used_quota_is_not_used_by_both_sides_of_an_undetected_partition(
     seed: int,
 ) -> None:
     # The smaller side went on with all that was left for the four epochs until a member counts as not heard.
     ring = OwnEpochs(seed)
-    ring._pass(ring.now + 3.0)
-    ring.play(3.0, {"heavy0": 8.0})
-    ring.cut(4, 5)
-    ring._pass(ring.now + 0.25)
+    ring.advance(ring.now + 3.0)
+    ring.run(3.0, {"heavy0": 8.0})
+    ring.partition(4, 5)
+    ring.advance(ring.now + 0.25)
     served = {"heavy0": 0, "new": 0}
     for n in range(4):
         for customer in served:
             for number in (4, 5):
                 name = f"{customer}-{n}-{number}"
-                served[customer] += ring.ask(number, name, tenant=customer, ring_size=ring.size)
-        ring._pass(ring.now + 0.03)
+                served[customer] += ring.submit(number, name, tenant=customer, ring_size=ring.size)
+        ring.advance(ring.now + 0.03)
     assert served["heavy0"] == 0
     assert served["new"] >= 2  # of an unused quota each may take what fits beside as much from all
 
 
 @pytest.mark.parametrize("number", range(20))
-def test_losses_of_all_spend_a_quota_twice_without_the_store_and_not_with_it(number: int) -> None:
+def test_restarts_of_all_use_a_quota_twice_only_without_the_store(number: int) -> None:
     # The control of test_losses_of_all_spend_no_quota_twice in tests/test_power.py, apart from the machine.
     use = {}
     for store in (True, False):
         ring = OwnEpochs(number)
-        ring._pass(ring.now + 3.0)
-        ring.play(3.0, {f"heavy{n}": 8.0 for n in range(2)})
+        ring.advance(ring.now + 3.0)
+        ring.run(3.0, {f"heavy{n}": 8.0 for n in range(2)})
         for _ in range(2):
-            ring.lose_all(0.5, store)
-            ring.play(2.5, {f"heavy{n}": 8.0 for n in range(2)})
-        ring.play(4.0, {f"heavy{n}": 8.0 for n in range(2)})
+            ring.restart_all(0.5, store)
+            ring.run(2.5, {f"heavy{n}": 8.0 for n in range(2)})
+        ring.run(4.0, {f"heavy{n}": 8.0 for n in range(2)})
         use[store] = ring.verdict().use
     assert use[True] <= 1.10 < use[False]
 
 
-def test_the_side_that_goes_on_serving_refuses_little_of_what_is_inside_quota() -> None:
+def test_the_majority_refuses_few_requests_within_quota() -> None:
     ring = Ring()
-    ring.play(8.0, ASKED)
-    ring.cut(3, 4)
-    ring.play(10.0, ASKED, (3, 3, 2, 0, 0))
+    ring.run(8.0, MIXED_LOAD)
+    ring.partition(3, 4)
+    ring.run(10.0, MIXED_LOAD, (3, 3, 2, 0, 0))
     ring.blocked = lambda sender, to: False
-    ring.play(10.0, ASKED)
+    ring.run(10.0, MIXED_LOAD)
     assert ring.verdict().wrong <= 0.02
     assert ring.verdict().use <= 1.10
 
 
-def test_a_minority_keeps_to_its_stated_part_of_any_10_s() -> None:
+def test_a_minority_stays_within_its_share_over_any_10_s() -> None:
     ring = Ring()
-    ring.play(4.0, {"calm": 0.3})
-    ring.cut(3, 4)
-    ring.play(6.0, {"calm": 0.3}, (1, 1, 1, 0, 0))
-    ring.tries.clear()
-    ring.play(30.0, {f"late{n}": 3.0 for n in range(4)}, (0, 0, 0, 1, 1))
+    ring.run(4.0, {"calm": 0.3})
+    ring.partition(3, 4)
+    ring.run(6.0, {"calm": 0.3}, (1, 1, 1, 0, 0))
+    ring.requests.clear()
+    ring.run(30.0, {f"late{n}": 3.0 for n in range(4)}, (0, 0, 0, 1, 1))
     part = MINORITY_SHARE * 2 / 5
     most = part * (BURST + 10.0 * RATE) + 2  # and a request each, as one must fit
     assert 0 < ring.verdict().use * (BURST + 10.0 * RATE) <= most
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_the_smaller_side_goes_on_with_the_level_that_a_pressed_tenant_had_before_the_cut(seed: int) -> None:
+def test_the_minority_keeps_the_level_that_a_tenant_had_before_the_partition(seed: int) -> None:
     # Its first request was let in as soon as the old level had drained, at the whole quota's rate.
     ring = Ring(max_units=1.0)
-    ring.chance.seed(seed)
-    ring.play(8.0, HARD)
-    ring.cut(3, 4)
-    ring._pass(ring.now + 6 * ring.live[0].epoch)  # the other side is not heard any more
+    ring.random.seed(seed)
+    ring.run(8.0, HEAVY_LOAD)
+    ring.partition(3, 4)
+    ring.advance(ring.now + 6 * ring.gateways[0].epoch)  # the other side is not heard any more
     noticed, served_at = ring.now, []
     for n in range(150):
-        ring._pass(ring.now + 0.1)
+        ring.advance(ring.now + 0.1)
         for number in (3, 4):
-            if ring.ask(number, f"r{n}-{number}", tenant="heavy0", ring_size=SIZE):
+            if ring.submit(number, f"r{n}-{number}", tenant="heavy0", ring_size=SIZE):
                 served_at.append(ring.now - noticed)
     full_window_seconds = BURST / RATE
     assert served_at
     assert served_at[0] > full_window_seconds
 
 
-def test_a_short_cut_leaves_no_window_fuller_than_it_was() -> None:
+def test_a_short_partition_does_not_raise_the_level_of_a_window() -> None:
     # The level was raised with the smaller part, and not lowered again with the larger one.
     ring = Ring(max_units=1.0)
-    ring._pass(ring.now + 3.0)
-    assert sum(ring.ask(3, f"a{n}", tenant="one", ring_size=SIZE) for n in range(6)) == 6
-    ring.cut(3, 4)
-    ring._pass(ring.now + 0.6)
-    assert not ring.ask(3, "in the cut", tenant="one", ring_size=SIZE)
+    ring.advance(ring.now + 3.0)
+    assert sum(ring.submit(3, f"a{n}", tenant="one", ring_size=SIZE) for n in range(6)) == 6
+    ring.partition(3, 4)
+    ring.advance(ring.now + 0.6)
+    assert not ring.submit(3, "in the cut", tenant="one", ring_size=SIZE)
     ring.blocked = lambda sender, to: False
-    ring._pass(ring.now + 1.0)
-    assert sum(ring.ask(3, f"b{n}", tenant="one", ring_size=SIZE) for n in range(5)) == 5
+    ring.advance(ring.now + 1.0)
+    assert sum(ring.submit(3, f"b{n}", tenant="one", ring_size=SIZE) for n in range(5)) == 5
 
 
 @pytest.mark.parametrize(
     ("size", "cut_off"), [(5, (3, 4)), (6, (4, 5)), (8, (5, 6, 7)), (12, (7, 8, 9, 10, 11))]
 )
 @pytest.mark.parametrize("seed", range(6))
-def test_the_smaller_side_keeps_to_its_part_while_it_learns_of_one_death_after_another(
+def test_the_minority_stays_within_its_share_while_deaths_are_detected_one_by_one(
     seed: int, size: int, cut_off: tuple[int, ...]
 ) -> None:
     """Two of five were cut off; some 2 s later they served with the whole quota again, for about 2 s.
@@ -398,16 +402,16 @@
     from 6 s on whoever was silent and not held for dead yet counted as present as well.
     """
     ring = Ring(seed=seed, size=size)
-    ring._pass(ring.now + 4.0)
-    ring.cut(*cut_off)
-    ring._pass(ring.now + 6 * ring.live[0].epoch)  # those of the other side are not heard any more
+    ring.advance(ring.now + 4.0)
+    ring.partition(*cut_off)
+    ring.advance(ring.now + 6 * ring.gateways[0].epoch)  # those of the other side are not heard any more
     missing: set[int] = set()
     while ring.now < 1e6 + 20.0:
-        ring._pass(ring.now + 0.1)
+        ring.advance(ring.now + 0.1)
         for number in cut_off:
-            ran = ring.ask(number, f"r{len(ring.tries)}", tenant="one", ring_size=size)
-            ring.tries.append(Try(ring.now, "one", 1.0, ran))
-            missing.add(len(ring.told[number].unreachable))
+            ran = ring.submit(number, f"r{len(ring.requests)}", tenant="one", ring_size=size)
+            ring.requests.append(Try(ring.now, "one", 1.0, ran))
+            missing.add(len(ring.notified[number].unreachable))
     assert missing & set(range(1, size - len(cut_off)))  # not all deaths were known at one moment
     assert size - len(cut_off) in missing
     allowance = BURST + 10.0 * RATE
@@ -416,55 +420,55 @@
     assert 0 < ring.verdict().use * allowance <= most
 
 
-def test_a_crash_of_some_costs_little_and_the_others_take_over() -> None:
+def test_after_a_crash_of_some_members_the_others_use_the_whole_quota() -> None:
     ring = Ring()
-    ring.play(8.0, ASKED)
+    ring.run(8.0, MIXED_LOAD)
     ring.kill(3, 4)
-    ring.play(20.0, ASKED, (3, 3, 2, 0, 0))
+    ring.run(20.0, MIXED_LOAD, (3, 3, 2, 0, 0))
     assert ring.verdict().wrong <= 0.02
     assert ring.verdict().use <= 1.10
-    assert all(quota.share == 1.0 for quota in ring.live[0].quotas.values())
+    assert all(quota.share == 1.0 for quota in ring.gateways[0].quotas.values())
 
 
-def test_what_one_cannot_hear_from_another_is_passed_on_by_whoever_hears_both() -> None:
+def test_a_member_that_reaches_both_ends_forwards_reports_over_a_broken_link() -> None:
     """A-B and B-C pass, A-C does not: A never learnt of C's use, as B tells its own successor alone."""
     ring = Ring()
-    ring.play(3.0, {})
+    ring.run(3.0, {})
     ring.blocked = lambda sender, to: {sender, to} in ({0, 4}, {0, 3})
-    ring._pass(ring.now + 8.0)
-    assert sum(ring.ask(4, f"a{n}", tenant="one", ring_size=SIZE) for n in range(12)) >= 8
-    ring._pass(ring.now + 1.0)
-    assert sum(ring.ask(0, f"b{n}", tenant="one", ring_size=SIZE) for n in range(12)) <= 3
+    ring.advance(ring.now + 8.0)
+    assert sum(ring.submit(4, f"a{n}", tenant="one", ring_size=SIZE) for n in range(12)) >= 8
+    ring.advance(ring.now + 1.0)
+    assert sum(ring.submit(0, f"b{n}", tenant="one", ring_size=SIZE) for n in range(12)) <= 3
     assert ring.members is not None
     assert all(not membership.dead_ids() for membership in ring.members.live.values())
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_restarted_one_is_told_the_windows_before_it_goes_past_its_allowance(seed: int) -> None:
+def test_a_restarted_member_receives_the_windows_before_it_exceeds_its_allowance(seed: int) -> None:
     ring = Ring()
-    ring.chance.seed(seed)
-    ring._pass(ring.now + 6.0)
-    full = [ring.ask(0, f"f{n}", tenant="one", ring_size=SIZE) for n in range(12)]
+    ring.random.seed(seed)
+    ring.advance(ring.now + 6.0)
+    full = [ring.submit(0, f"f{n}", tenant="one", ring_size=SIZE) for n in range(12)]
     assert sum(full) >= 8
-    ring.epochs(3)
+    ring.run_epochs(3)
     ring.kill(1)
     assert ring.members is not None
     ring.members.start(1)
     ring.restart(1)
-    ring.told.pop(1, None)
+    ring.notified.pop(1, None)
     got = 0
     for n in range(20):  # it asks for more than it may have, at each moment
-        got += sum(ring.ask(1, f"g{n}-{k}", tenant="one", ring_size=SIZE) for k in range(4))
-        ring._pass(ring.now + 0.1)
+        got += sum(ring.submit(1, f"g{n}-{k}", tenant="one", ring_size=SIZE) for k in range(4))
+        ring.advance(ring.now + 0.1)
     assert got <= 5  # the allowance of one large request; the window is full, and drains by four
 
 
-def gone(*missing: int, size: int = 10) -> i.MembershipChanged:
+def membership_without(*missing: int, size: int = 10) -> i.MembershipChanged:
     present = frozenset(range(size)) - frozenset(missing)
     return i.MembershipChanged(present, frozenset(missing), True, present, frozenset())
 
 
-def test_cold_backends_are_divided_among_those_that_are_there() -> None:
+def test_cold_backends_are_divided_among_the_alive_members() -> None:
     names = [f"b{n}" for n in range(20)]
     live: dict[int, Gateway] = {n: started(" ".join(names), number=n, gateways=10) for n in range(10)}
 
@@ -478,9 +482,9 @@
 
     assert doors(list(range(10))) == live[0]._slow_start_sharers(live[0].backends["b7"]) == 6
     for number in (1, 5, 8):
-        live[number].handle(50.0, gone(0, 2, 3, 4, 6, 7, 9))
+        live[number].handle(50.0, membership_without(0, 2, 3, 4, 6, 7, 9))
         assert live[number].subset_size == 20  # three share them all
     assert doors([1, 5, 8]) == live[1]._slow_start_sharers(live[1].backends["b7"]) == 3
     for number in range(10):  # half of them: as many doors, and all of them there
-        live[number].handle(50.0, gone(0, 3))
+        live[number].handle(50.0, membership_without(0, 3))
     assert doors([n for n in range(10) if n not in (0, 3)]) == 6
--- a/tests/test_modes.py
+++ b/tests/test_modes.py
@@ -22,7 +22,7 @@
     report_age,
     use_bound,
 )
-from tests.test_witness import Witnessed
+from tests.test_witness import ReconciledNetwork
 from tests.world import BASIC
 
 STEP = 0.25
@@ -65,8 +65,8 @@
 @pytest.mark.parametrize("mode", list(Mode))
 def test_the_use_of_no_tenant_exceeds_the_bound(mode: Mode, members: int, loss: float) -> None:
     ring = mode in (Mode.BOTH, Mode.RING)
-    fleet = Witnessed(members, ring=ring, may_message_peers=ring, max_units=1.0)
-    fleet.reads = mode in (Mode.BOTH, Mode.COUNTER)
+    fleet = ReconciledNetwork(members, ring=ring, may_message_peers=ring, max_units=1.0)
+    fleet.reconciliation_readable = mode in (Mode.BOTH, Mode.COUNTER)
     chance, tries = random.Random(members), list[Try]()
     carry = fleet.deliver
 
@@ -76,12 +76,12 @@
     fleet.deliver = deliver  # type: ignore[method-assign]
     demand = 4 * BASIC.rate
     while fleet.now < 30.0:
-        fleet.epochs(1)
+        fleet.run_epochs(1)
         for n in range(members):
-            for serial in range(round(chance.random() < demand / members * fleet.live[0].epoch)):
-                ran = fleet.ask(n, f"{fleet.now} {n} {serial}", ring_size=members)
+            for serial in range(round(chance.random() < demand / members * fleet.gateways[0].epoch)):
+                ran = fleet.submit(n, f"{fleet.now} {n} {serial}", ring_size=members)
                 tries.append(Try(fleet.now, "a", 1.0, ran))
-    epoch = fleet.live[0].epoch
+    epoch = fleet.gateways[0].epoch
     parameters = FleetParameters(BASIC.rate, BASIC.burst, members, demand, epoch, epoch, loss=loss)
     span = min(report_age(mode, parameters), 10.0)
     most = max(sum(one.at <= other.at < one.at + span + epoch / 2 for other in tries) for one in tries)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -31,18 +31,18 @@
     return gateway
 
 
-def test_cheap_work_leaves_room_where_the_best_class_finds_none() -> None:
+def test_low_earning_requests_yield_when_the_best_class_is_refused() -> None:
     """It took 0.78 of the room all the same, and work of four times its worth was refused."""
     best = sent_until_refused(after_refusals(True), "dear")
     assert 0.3 * best <= sent_until_refused(after_refusals(True), "cheap") <= 0.5 * best
 
 
-def test_cheap_work_alone_takes_most_of_the_room() -> None:
+def test_low_earning_requests_alone_use_most_of_the_capacity() -> None:
     best = sent_until_refused(after_refusals(False), "dear")
     assert sent_until_refused(after_refusals(False), "cheap") >= 0.7 * best
 
 
-def test_what_is_beyond_a_quota_yields_no_later_than_cheap_work_inside_it() -> None:
+def test_requests_over_quota_yield_no_later_than_low_earning_ones_within_it() -> None:
     gateway = started(gateways=1, classes=(CHEAP, DEAR), plans=(PAYING,))
     for _ in range(50):
         gateway.priority.observe(1.0, True)
@@ -54,7 +54,7 @@
         assert not sends(gateway.handle(1.0, request(f"b{n}", class_name="cheap", tenant="greedy")))
 
 
-def test_the_reserve_grows_with_refusals_of_the_best_class_alone() -> None:
+def test_the_reserve_grows_only_with_refusals_of_the_best_class() -> None:
     priority = ClassPriority()
     priority.observe(0.5, True)
     assert priority.capacity_share(0.0) == 1.0 - MIN_RESERVED
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -8,24 +8,35 @@
 from hoistfold import interface as i
 from hoistfold.gateway import IDLE_QUOTA_SECONDS
 from hoistfold.state import REPORT_TWICE
-from tests.world import BASIC, OPEN, LongRing, Pair, ended, of, request, sealed, sends, started
+from tests.world import (
+    BASIC,
+    OPEN,
+    LongRing,
+    PeerNetwork,
+    actions_of,
+    ended,
+    request,
+    sends,
+    started,
+    with_checksum,
+)
 
 
 def key_of(customer: str) -> bytes:
     return hashlib.blake2b(customer.encode(), digest_size=5).digest()
 
 
-def keepers_of(ring: LongRing) -> list[int]:
+def coordinators_of(ring: LongRing) -> list[int]:
     """The two that keep the total of the common customer."""
-    quota = ring.live[255].quota_of(key_of("basic c1"), BASIC, 250, 100)
-    return ring.live[255].members(quota, int.from_bytes(quota.key, "big") % 100)[:2]
+    quota = ring.gateways[255].quota_of(key_of("basic c1"), BASIC, 250, 100)
+    return ring.gateways[255].members(quota, int.from_bytes(quota.key, "big") % 100)[:2]
 
 
-def admitted(pair: Pair, number: int, tries: int, name: str = "x") -> int:
-    return sum(pair.ask(number, f"{name}{n}") for n in range(tries))
+def admitted(network: PeerNetwork, number: int, tries: int, name: str = "x") -> int:
+    return sum(network.submit(number, f"{name}{n}") for n in range(tries))
 
 
-def test_a_lone_ring_grants_the_quota_and_refuses_with_advice() -> None:
+def test_a_ring_of_one_grants_the_quota_and_refuses_with_retry_after() -> None:
     gateway = started()
     taken = 0
     for n in range(20):
@@ -41,96 +52,98 @@
     assert taken == 10
 
 
-def test_the_others_use_is_taken_off() -> None:
-    pair = Pair()
-    pair.epochs(4)
-    assert admitted(pair, 0, 6, "a") == 6
-    pair.epochs(2)
-    assert admitted(pair, 1, 20, "b") <= 5
+def test_use_by_other_members_is_subtracted() -> None:
+    network = PeerNetwork()
+    network.run_epochs(4)
+    assert admitted(network, 0, 6, "a") == 6
+    network.run_epochs(2)
+    assert admitted(network, 1, 20, "b") <= 5
 
 
-def test_without_any_peer_only_the_allowance_is_used() -> None:
-    pair = Pair()
-    del pair.live[1]
-    pair.epochs(10)
-    assert admitted(pair, 0, 20) <= 4  # the largest request's units
+def test_without_reachable_peers_only_the_allowance_is_used() -> None:
+    network = PeerNetwork()
+    del network.gateways[1]
+    network.run_epochs(10)
+    assert admitted(network, 0, 20) <= 4  # the largest request's units
 
 
-def test_a_gateway_restarted_empty_is_told_its_own_use_at_its_first() -> None:
-    pair = Pair()
-    pair.epochs(4)
-    assert admitted(pair, 0, 10, "a") >= 9
-    pair.epochs(3)
-    pair.restart(0)
-    pair.epochs(3)
-    assert pair.ask(0, "first")
-    pair.epochs(3)
-    assert admitted(pair, 0, 20, "b") <= 5
+def test_a_restarted_gateway_receives_its_earlier_use() -> None:
+    network = PeerNetwork()
+    network.run_epochs(4)
+    assert admitted(network, 0, 10, "a") >= 9
+    network.run_epochs(3)
+    network.restart(0)
+    network.run_epochs(3)
+    assert network.submit(0, "first")
+    network.run_epochs(3)
+    assert admitted(network, 0, 20, "b") <= 5
 
 
-def test_messages_lost_repeated_late_or_garbled_do_no_harm() -> None:
-    pair = Pair()
-    pair.epochs(4)
-    admitted(pair, 0, 4, "a")
-    actions = pair.live[0].handle(pair.now + 0.1, i.TimerFired(0))
+def test_lost_repeated_late_or_corrupted_messages_do_no_harm() -> None:
+    network = PeerNetwork()
+    network.run_epochs(4)
+    admitted(network, 0, 4, "a")
+    actions = network.gateways[0].handle(network.now + 0.1, i.TimerFired(0))
     messages = [action.content for action in actions if isinstance(action, i.SendPeerMessage)]
     assert any(len(message) > 20 for message in messages)
-    receiver = pair.live[1]
+    receiver = network.gateways[1]
     for message in messages * 3:
-        receiver.handle(pair.now + 0.2, i.PeerMessage(0, message))
-        receiver.handle(pair.now + 0.2, i.PeerMessage(0, message[:-3]))
-    receiver.handle(pair.now + 0.2, i.PeerMessage(0, b"\x01" + bytes(200)))
-    receiver.handle(pair.now + 0.2, i.PeerMessage(0, b""))
-    receiver.handle(pair.now + 0.2, i.PeerMessage(9, messages[0]))
-    pair.now += 0.2
-    assert 4 <= admitted(pair, 1, 20, "b") <= 6
+        receiver.handle(network.now + 0.2, i.PeerMessage(0, message))
+        receiver.handle(network.now + 0.2, i.PeerMessage(0, message[:-3]))
+    receiver.handle(network.now + 0.2, i.PeerMessage(0, b"\x01" + bytes(200)))
+    receiver.handle(network.now + 0.2, i.PeerMessage(0, b""))
+    receiver.handle(network.now + 0.2, i.PeerMessage(9, messages[0]))
+    network.now += 0.2
+    assert 4 <= admitted(network, 1, 20, "b") <= 6
 
 
-def test_a_quota_holds_over_a_hundred_members_that_use_it_once_each() -> None:
+def test_a_quota_holds_over_a_hundred_members_with_one_request_each() -> None:
     """A lap by all members took half a minute, and refused or let in nearly everything."""
     ring = LongRing()
     members = [(250 + place) % 300 for place in range(0, 100, 2)]
-    taken = sum(ring.ask(number, f"r{number}") for number in members)
+    taken = sum(ring.submit(number, f"r{number}") for number in members)
     assert 26 <= taken <= 30  # ten at first and two a second for ten seconds
-    assert ring.bytes <= 100 * 50  # a keeper each way, twice
+    assert ring.bytes_sent <= 100 * 50  # a keeper each way, twice
 
 
-def test_a_calm_customer_is_let_in_wherever_it_comes() -> None:
+def test_a_tenant_with_low_use_is_admitted_at_every_member() -> None:
     ring = LongRing()
     places = range(0, 100, 7)
-    assert all(ring.ask((250 + place) % 300, f"r{place}", tenant=f"c{place}") for place in places)
+    assert all(ring.submit((250 + place) % 300, f"r{place}", tenant=f"c{place}") for place in places)
 
 
-def test_a_long_ring_skips_a_keeper_that_answers_nothing() -> None:
+def test_a_long_ring_skips_an_unresponsive_coordinator() -> None:
     ring = LongRing()
-    keepers = keepers_of(ring)
-    ring.dead = {keepers[0]}
-    members = [n for n in ((250 + place) % 300 for place in range(40)) if n not in keepers]
-    taken = sum(ring.ask(number, f"r{number}") for number in members)
+    coordinators = coordinators_of(ring)
+    ring.unreachable = {coordinators[0]}
+    members = [n for n in ((250 + place) % 300 for place in range(40)) if n not in coordinators]
+    taken = sum(ring.submit(number, f"r{number}") for number in members)
     assert 20 <= taken <= 30
 
 
-def test_one_keeper_restarted_empty_does_not_open_the_quota() -> None:
+def test_a_restarted_coordinator_does_not_reset_the_quota() -> None:
     ring = LongRing()
-    keepers = keepers_of(ring)
-    members = [n for n in ((250 + place) % 300 for place in range(60)) if n not in keepers]
-    sum(ring.ask(number, f"a{number}") for number in members[:25])
-    ring.restart(keepers[0])
-    taken = sum(ring.ask(number, f"b{number}") for number in members[25:45])
+    coordinators = coordinators_of(ring)
+    members = [n for n in ((250 + place) % 300 for place in range(60)) if n not in coordinators]
+    sum(ring.submit(number, f"a{number}") for number in members[:25])
+    ring.restart(coordinators[0])
+    taken = sum(ring.submit(number, f"b{number}") for number in members[25:45])
     assert taken <= 10  # two a second for four seconds, and one or two left
 
 
 def test_messages_of_any_content_do_no_harm_in_a_long_ring() -> None:
     ring = LongRing(30, peer_intake=5.0)
-    asked = of(ring.live[3].handle(1.0, request("r", ring_size=20, ring_first=0)), i.SendPeerMessage)
-    chance = random.Random(5)
+    asked = actions_of(
+        ring.gateways[3].handle(1.0, request("r", ring_size=20, ring_first=0)), i.SendPeerMessage
+    )
+    random_source = random.Random(5)
     for _ in range(3000):
-        body = bytes(chance.randrange(256) for _ in range(len(asked[0].content) - 4))
-        ring.live[3].handle(1.0, i.PeerMessage(chance.randrange(30), sealed(body)))
-    assert not ring.live[3].quotas[key_of("basic c1")].others
+        body = bytes(random_source.randrange(256) for _ in range(len(asked[0].content) - 4))
+        ring.gateways[3].handle(1.0, i.PeerMessage(random_source.randrange(30), with_checksum(body)))
+    assert not ring.gateways[3].quotas[key_of("basic c1")].others
 
 
-def test_unused_entries_are_forgotten() -> None:
+def test_idle_quotas_are_evicted() -> None:
     gateway = started()
     for n in range(500):
         for send in sends(gateway.handle(1.0, request(f"r{n}", tenant=f"once{n}"))):
@@ -140,34 +153,34 @@
     assert len(gateway.quotas) == 0
 
 
-def test_a_count_that_has_run_for_long_is_believed_by_who_hears_it_first() -> None:
+def test_a_high_running_count_is_accepted_as_the_first_report() -> None:
     """From half the counts' range on, a restarted gateway took the others for restarted ones."""
-    pair = Pair()
-    pair.epochs(4)
-    admitted(pair, 0, 3, "a")
-    quota = pair.live[0].quotas[key_of("basic c1")]
+    network = PeerNetwork()
+    network.run_epochs(4)
+    admitted(network, 0, 3, "a")
+    quota = network.gateways[0].quotas[key_of("basic c1")]
     quota.counts[quota.index] = 0xF000
-    pair.live[0]._queue_report(quota, quota.index, REPORT_TWICE)
-    pair.restart(1)
-    pair.epochs(3)
-    assert 5 <= admitted(pair, 1, 20, "b") <= 8
+    network.gateways[0]._queue_report(quota, quota.index, REPORT_TWICE)
+    network.restart(1)
+    network.run_epochs(3)
+    assert 5 <= admitted(network, 1, 20, "b") <= 8
 
 
-def test_where_peers_may_not_be_told_nothing_is_sent_and_entries_are_still_forgotten() -> None:
-    """A large fleet asked its keepers although the settings forbid messages."""
+def test_without_peer_messages_nothing_is_sent_and_idle_quotas_are_evicted() -> None:
+    """A large fleet asked its coordinators although the settings forbid messages."""
     gateway = started(gateways=300, may_message_peers=False)
     actions = gateway.handle(1.0, request("r", ring_size=100, ring_first=0))
     assert len(sends(actions)) == 1  # within the allowance
     actions += gateway.handle(2.0, i.TimerFired(0))
     gateway.handle(2.0, ended(sends(actions)[0], i.Outcome.OK))
-    assert not of(actions + gateway.handle(100.0, i.TimerFired(0)), i.SendPeerMessage)
+    assert not actions_of(actions + gateway.handle(100.0, i.TimerFired(0)), i.SendPeerMessage)
     assert not gateway.quotas
 
 
-def test_a_refusal_with_room_in_the_window_still_says_when_to_come_back() -> None:
+def test_a_refusal_below_the_burst_still_advises_a_delay() -> None:
     """Nothing is short then but the totals: they may be there an epoch later."""
-    pair = Pair()
-    gateway = pair.live[0]
+    network = PeerNetwork()
+    gateway = network.gateways[0]
     refusals = []
     for n in range(12):
         for action in gateway.handle(1.0, request(f"r{n}")):
@@ -177,7 +190,7 @@
     assert all(wait is not None and wait >= gateway.epoch for wait in refusals)
 
 
-def test_customers_that_come_once_are_forgotten_though_there_is_no_room_to_tell_of_them() -> None:
+def test_tenants_with_a_single_request_are_evicted_while_reports_are_pending() -> None:
     """Each epoch renewed what was still untold: on a day of ever new customers the table only grew."""
     gateway = started(gateways=2)
     for n in range(12_000):
@@ -189,138 +202,139 @@
     assert len(gateway.quotas) <= 200 * (IDLE_QUOTA_SECONDS + 4)
 
 
-def test_those_nearest_their_quota_are_told_first() -> None:
+def test_the_most_utilized_quotas_are_reported_first() -> None:
     """Behind fifty customers of little use it was told seconds late that one had used all of its quota."""
-    pair = Pair()
-    pair.epochs(4)
-    assert all(pair.ask(0, f"l{n}", tenant=f"little{n}") for n in range(40))
+    network = PeerNetwork()
+    network.run_epochs(4)
+    assert all(network.submit(0, f"l{n}", tenant=f"little{n}") for n in range(40))
     for actions in [
-        pair.live[0].handle(pair.now, request(f"m{n}", tenant=f"m{n}", ring_size=2)) for n in range(40)
+        network.gateways[0].handle(network.now, request(f"m{n}", tenant=f"m{n}", ring_size=2))
+        for n in range(40)
     ]:
         for send in sends(actions):
-            pair.live[0].handle(pair.now, ended(send, i.Outcome.OK))
-    assert admitted(pair, 0, 10, "a") >= 9
-    pair.epochs(1)
-    assert admitted(pair, 1, 20, "b") <= 5
+            network.gateways[0].handle(network.now, ended(send, i.Outcome.OK))
+    assert admitted(network, 0, 10, "a") >= 9
+    network.run_epochs(1)
+    assert admitted(network, 1, 20, "b") <= 5
 
 
-def test_in_a_ring_of_three_a_restarted_member_is_told_its_own_use_too() -> None:
+def test_in_a_ring_of_three_a_restarted_member_receives_its_own_use_too() -> None:
     """Only its successor saw it, and told the third, which knew already: the use went uncounted."""
-    pair = Pair(3)
-    pair.epochs(4)
+    network = PeerNetwork(3)
+    network.run_epochs(4)
     for n in range(6):
-        assert pair.ask(0, f"a{n}", ring_size=3)
-        pair.epochs(6)
-    pair.restart(0)
-    pair.epochs(3)
-    assert sum(pair.ask(0, f"b{n}", ring_size=3) for n in range(4)) == 4
-    pair.epochs(4)
-    quota = pair.live[0].quotas[key_of("basic c1")]
-    assert quota.counts[0] == pair.live[1].quotas[key_of("basic c1")].counts[0] == 4 * 10
-    assert sum(pair.ask(1, f"c{n}", ring_size=3) for n in range(20)) <= 7
-
-
-def test_gateways_that_hear_of_nobody_keep_to_the_quota_together() -> None:
-    pair = Pair(3, may_message_peers=False, max_units=1.0)
+        assert network.submit(0, f"a{n}", ring_size=3)
+        network.run_epochs(6)
+    network.restart(0)
+    network.run_epochs(3)
+    assert sum(network.submit(0, f"b{n}", ring_size=3) for n in range(4)) == 4
+    network.run_epochs(4)
+    quota = network.gateways[0].quotas[key_of("basic c1")]
+    assert quota.counts[0] == network.gateways[1].quotas[key_of("basic c1")].counts[0] == 4 * 10
+    assert sum(network.submit(1, f"c{n}", ring_size=3) for n in range(20)) <= 7
+
+
+def test_isolated_gateways_keep_to_the_quota_together() -> None:
+    network = PeerNetwork(3, may_message_peers=False, max_units=1.0)
     total = 0
     for _ in range(200):
-        pair.now += 0.1
-        total += sum(pair.ask(n, f"{pair.now} {n}", ring_size=3) for n in range(3))
-    assert 0.8 * BASIC.rate * pair.now <= total <= 1.1 * (BASIC.burst + BASIC.rate * pair.now)
+        network.now += 0.1
+        total += sum(network.submit(n, f"{network.now} {n}", ring_size=3) for n in range(3))
+    assert 0.8 * BASIC.rate * network.now <= total <= 1.1 * (BASIC.burst + BASIC.rate * network.now)
 
 
-def test_where_others_are_heard_a_silent_member_leaves_its_share() -> None:
-    pair = Pair(3)
-    pair.epochs(2)
-    del pair.live[1]
+def test_the_share_of_a_silent_member_is_used_while_others_are_reachable() -> None:
+    network = PeerNetwork(3)
+    network.run_epochs(2)
+    del network.gateways[1]
     total = 0
     for _ in range(200):
-        pair.epochs(1)
-        total += pair.ask(0, f"{pair.now}", ring_size=2)
-    assert total >= 0.9 * BASIC.rate * pair.now
+        network.run_epochs(1)
+        total += network.submit(0, f"{network.now}", ring_size=2)
+    assert total >= 0.9 * BASIC.rate * network.now
 
 
-def test_what_a_restarted_gateway_hears_of_at_first_is_within_the_window() -> None:
-    pair = Pair(3)
+def test_first_reports_after_a_restart_stay_within_the_window() -> None:
+    network = PeerNetwork(3)
     for _ in range(60):  # all places have used far more than a burst in their lives
-        pair.epochs(1)
+        network.run_epochs(1)
         for n in range(3):
-            pair.ask(n, f"{pair.now} {n}", ring_size=3)
-    pair.restart(0)
+            network.submit(n, f"{network.now} {n}", ring_size=3)
+    network.restart(0)
     for _ in range(4):
         for n in range(3):
-            pair.ask(n, f"{pair.now} {n} again", ring_size=3)
-        pair.epochs(1)
-    quota = next(iter(pair.live[0].quotas.values()))
+            network.submit(n, f"{network.now} {n} again", ring_size=3)
+        network.run_epochs(1)
+    quota = next(iter(network.gateways[0].quotas.values()))
     assert len(quota.counts) > 1
     assert 0.5 * BASIC.burst <= quota.own + quota.others <= BASIC.burst + BASIC.rate * 0.5
 
 
-def let_in(number: int, many: int, plan: str, **changes: Any) -> int:
+def admitted_alone(number: int, many: int, plan: str, **changes: Any) -> int:
     """How many of a customer's requests, all at once, one of three gateways lets in that tell no peers."""
     gateway = started(now=0.0, gateways=3, number=number, may_message_peers=False, max_units=1.0, **changes)
     ask = [request(f"r{n}", plan=plan, ring_size=3, ring_first=1) for n in range(many)]
     return sum(len(sends(gateway.handle(0.0, one))) for one in ask)
 
 
-def test_where_no_peer_may_be_told_each_keeps_to_an_even_share_and_to_all_of_it() -> None:
+def test_without_peer_messages_each_gateway_uses_exactly_its_even_share() -> None:
     """A tenth of it refused half of what was inside; whole limits at each let in what was beyond."""
     even = replace(BASIC, burst=12.0)
-    assert [let_in(n, 20, "basic", plans=(even,)) for n in range(3)] == [4, 4, 4]
+    assert [admitted_alone(n, 20, "basic", plans=(even,)) for n in range(3)] == [4, 4, 4]
     # three attempts out at once are one at each; of four the first of the customer's set has two
-    assert [let_in(n, 9, "open", plans=(OPEN,)) for n in range(3)] == [1, 1, 1]
+    assert [admitted_alone(n, 9, "open", plans=(OPEN,)) for n in range(3)] == [1, 1, 1]
     four = replace(OPEN, max_open=4)
-    assert [let_in(n, 9, "open", plans=(four,)) for n in range(3)] == [1, 2, 1]
+    assert [admitted_alone(n, 9, "open", plans=(four,)) for n in range(3)] == [1, 2, 1]
     one = replace(OPEN, max_open=1)  # fewer than there are gateways: none of them may be shut out for good
-    assert [let_in(n, 9, "open", plans=(one,)) for n in range(3)] == [1, 1, 1]
+    assert [admitted_alone(n, 9, "open", plans=(one,)) for n in range(3)] == [1, 1, 1]
 
 
-def test_a_request_that_is_gone_while_its_total_is_asked_for_is_not_sent() -> None:
+def test_a_request_cancelled_during_an_acquisition_is_not_sent() -> None:
     gateway = started(gateways=200, number=7)
     actions = gateway.handle(1.0, request("r1", ring_size=100, ring_first=0))
     assert gateway.long_ring
     assert not sends(actions)
     gateway.handle(1.01, i.RequestCancelled("r1"))
-    later = [gateway.handle(1.5, i.TimerFired(timer.handle)) for timer in of(actions, i.SetTimer)]
+    later = [gateway.handle(1.5, i.TimerFired(timer.handle)) for timer in actions_of(actions, i.SetTimer)]
     assert not any(map(sends, later))
     assert gateway.requests == {}
 
 
-def test_a_silent_member_of_a_ring_is_gone_where_another_gateway_is_heard() -> None:
+def test_a_silent_member_counts_as_dead_while_another_gateway_is_reachable() -> None:
     """A zone lost with its ingresses: the survivors granted a tenth of an even share beside idle servers."""
-    fleet = Pair(3)
-    fleet.epochs(4)
-    del fleet.live[1]
-    fleet.epochs(10)
+    fleet = PeerNetwork(3)
+    fleet.run_epochs(4)
+    del fleet.gateways[1]
+    fleet.run_epochs(10)
     assert admitted(fleet, 0, 20) == BASIC.burst
 
 
-def test_what_a_lost_member_had_used_still_counts() -> None:
-    fleet = Pair(3)
-    fleet.epochs(4)
+def test_use_by_a_dead_member_still_counts() -> None:
+    fleet = PeerNetwork(3)
+    fleet.run_epochs(4)
     assert admitted(fleet, 1, 6, "a") == 6
-    fleet.epochs(1)
-    del fleet.live[1]
-    fleet.epochs(5)
-    drained = BASIC.rate * 6 * fleet.live[0].epoch
+    fleet.run_epochs(1)
+    del fleet.gateways[1]
+    fleet.run_epochs(5)
+    drained = BASIC.rate * 6 * fleet.gateways[0].epoch
     assert admitted(fleet, 0, 20, "b") <= BASIC.burst - 6 + drained + 1
 
 
-def test_one_that_has_just_started_does_not_take_silent_members_for_gone() -> None:
+def test_a_starting_gateway_does_not_take_silent_members_for_dead() -> None:
     """It hears one gateway before another, whose ring may have used the window already."""
-    fleet = Pair(3)
-    del fleet.live[1]
-    fleet.epochs(4)
+    fleet = PeerNetwork(3)
+    del fleet.gateways[1]
+    fleet.run_epochs(4)
     fleet.restart(0)
-    fleet.epochs(2)
+    fleet.run_epochs(2)
     assert admitted(fleet, 0, 20) <= 4  # the largest request's units
 
 
 def test_the_last_gateway_of_a_ring_uses_an_even_share() -> None:
     """The other of two died: what its clients then ask of this one, far under the quota, was refused."""
-    pair = Pair(max_units=1.0)
-    pair.epochs(4)
-    del pair.live[1]
-    pair.epochs(10)
+    network = PeerNetwork(max_units=1.0)
+    network.run_epochs(4)
+    del network.gateways[1]
+    network.run_epochs(10)
     share = BASIC.burst / 2
-    assert share - 1 <= admitted(pair, 0, 20) <= share
+    assert share - 1 <= admitted(network, 0, 20) <= share
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,24 +3,24 @@
 import pytest
 
 from hoistfold import interface as i
-from tests.world import backend, ended, listed, of, request, sends, started
+from tests.world import actions_of, backend, ended, listed, request, sends, started
 
 RAN = [i.Outcome.ERROR, i.Outcome.TIMEOUT, i.Outcome.RESET, i.Outcome.CANCELLED]
 NEVER_RAN = [i.Outcome.FULL, i.Outcome.CONNECT_FAILED, i.Outcome.MOOT]
 
 
-def test_a_request_without_an_outcome_is_answered_before_the_client_leaves() -> None:
+def test_a_request_without_an_outcome_is_answered_before_its_timeout() -> None:
     gateway = started()
     actions = gateway.handle(1.0, request("r", class_name="buy", time_left=2.0))
-    timer = of(actions, i.SetTimer)[-1]
+    timer = actions_of(actions, i.SetTimer)[-1]
     assert 1.9 < timer.delay <= 2.0
-    assert of(gateway.handle(1.0 + timer.delay, i.TimerFired(timer.handle)), i.Fail) == [i.Fail("r")]
+    assert actions_of(gateway.handle(1.0 + timer.delay, i.TimerFired(timer.handle)), i.Fail) == [i.Fail("r")]
 
 
 def test_nothing_follows_the_final_answer() -> None:
     gateway = started()
     actions = gateway.handle(1.0, request("r"))
-    send, timer = sends(actions)[0], of(actions, i.SetTimer)[-1]
+    send, timer = sends(actions)[0], actions_of(actions, i.SetTimer)[-1]
     assert not gateway.handle(1.1, ended(send, i.Outcome.OK))
     assert not gateway.handle(4.0, i.TimerFired(timer.handle))
 
@@ -31,7 +31,7 @@
     send = sends(gateway.handle(1.0, request("r", class_name="buy")))[0]
     actions = gateway.handle(1.1, ended(send, outcome))
     assert not sends(actions)
-    assert not of(actions, i.Refuse)
+    assert not actions_of(actions, i.Refuse)
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN)
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(("later", "resent"), [(0.5, True), (2.1, False)])
-def test_keyed_goes_only_to_its_cell_while_it_is_remembered(later: float, resent: bool) -> None:
+def test_a_keyed_retry_stays_in_its_cell_and_dedup_window(later: float, resent: bool) -> None:
     gateway = started()
     entries = (backend("b1", cell=1), backend("b2", cell=2), backend("b3", cell=1))
     gateway.handle(0.5, listed(*entries, kind=i.ListKind.FULL))
@@ -50,7 +50,7 @@
     send = sends(gateway.handle(1.0, request("r", class_name="keyed")))[0]
     actions = gateway.handle(1.0 + later, ended(send, i.Outcome.RESET))
     assert [cells[again.backend] for again in sends(actions)] == ([cells[send.backend]] if resent else [])
-    assert not of(actions, i.Refuse)
+    assert not actions_of(actions, i.Refuse)
 
 
 @pytest.mark.parametrize("state", [i.Availability.DRAINING, i.Availability.REMOVED])
@@ -59,7 +59,7 @@
     gateway.handle(0.5, listed(backend("b1", availability=state), kind=i.ListKind.CHANGES))
     actions = gateway.handle(0.5, request("r"))
     assert not sends(actions)
-    assert len(of(actions, i.Refuse)) == 1
+    assert len(actions_of(actions, i.Refuse)) == 1
 
 
 def test_a_cold_backend_is_given_only_its_share() -> None:
@@ -75,7 +75,7 @@
     assert 1 <= taken <= 2.5 * 0.5 * 3 / 3 / 0.125
 
 
-def test_the_ceiling_share_is_kept_alone() -> None:
+def test_each_gateway_keeps_its_share_of_the_ceiling() -> None:
     gateway = started(gateways=3)
     sent = 0
     for n in range(2000):
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from hoistfold import interface as i
-from tests.world import BASIC, backend, ended, listed, of, request, sends, started
+from tests.world import BASIC, actions_of, backend, ended, listed, request, sends, started
 
 
 def test_a_backend_that_answers_nothing_gets_only_trials() -> None:
@@ -23,7 +23,7 @@
     assert len(late) <= 8  # at most one trial a second for seven seconds
 
 
-def test_many_gateways_share_what_a_new_backend_is_given() -> None:
+def test_the_limit_of_a_backend_is_shared_by_all_gateways() -> None:
     """Jam with twelve gateways: each filled every backend as if it were alone."""
     out = {}
     for gateways in (3, 12):
@@ -33,7 +33,7 @@
     assert out[12] * 12 <= out[3] * 3 * 2.5  # the room is kept on average, a first burst may pass it
 
 
-def test_full_answers_are_not_tried_again_while_pressed() -> None:
+def test_full_responses_are_not_retried_under_overload() -> None:
     """Flood of retries: a fuller fleet must not be tried harder."""
     gateway = started("b1 b2")
     first = [gateway.handle(1.0, request(f"r{n}", tenant=f"c{n}")) for n in range(40)]
@@ -43,12 +43,12 @@
         for send in sends(actions):
             after = gateway.handle(1.1 + 0.2 * number, ended(send, i.Outcome.FULL))
             attempts += len(sends(after))
-            answers += len(of(after, i.Refuse))
+            answers += len(actions_of(after, i.Refuse))
     assert answers > 0
     assert attempts < 40
 
 
-def test_what_must_come_late_yields_when_pressed() -> None:
+def test_late_retries_yield_under_overload() -> None:
     """Late retries were served after their aim and displaced fresh requests."""
     gateway = started("b1 b2 b3 b4")
     fresh, late = 0, 0
@@ -61,7 +61,7 @@
     assert fresh > late
 
 
-def test_a_few_clients_with_more_time_do_not_make_all_others_late() -> None:
+def test_a_few_clients_with_longer_timeouts_do_not_make_the_others_late() -> None:
     """Half was refused on idle servers: the longest time left was taken for that of every first try."""
     gateway = started("b1 b2 b3 b4")
     taken = 0
@@ -87,7 +87,7 @@
     assert 1 <= sent <= 2.5 * 0.45 * 4 / 0.125
 
 
-def test_a_gateway_with_little_traffic_is_not_pressed_by_one_attempt() -> None:
+def test_one_attempt_does_not_overload_a_gateway_with_little_traffic() -> None:
     """A share of the room below one attempt refused most tries on idle backends."""
     gateway = started(" ".join(f"b{n}" for n in range(60)), gateways=300)
     asked = [gateway.handle(1.0, request(f"r{n}", tenant=f"c{n}")) for n in range(3)]
@@ -103,7 +103,7 @@
     assert set(uses.values()) == {300 * 6 // 60}
 
 
-def test_what_the_cold_can_do_is_used_while_the_warm_are_full() -> None:
+def test_cold_backends_are_used_while_the_warm_ones_are_full() -> None:
     """Six in ten new at once: requests were refused for room while the new ones stood idle."""
     answered = 0
     for number in range(40):
@@ -128,7 +128,7 @@
     assert 0.3 * 36 * 0.7 * 2.5 * 0.35 * 3 < work < 36 * 0.7 * 2.5 * 0.53 * 4
 
 
-def test_trials_are_first_attempts_and_get_rarer_where_connections_fail() -> None:
+def test_trials_are_first_attempts_and_back_off_on_connection_failures() -> None:
     """With the list late most were dead: requests used up their attempts on trials and were refused."""
     gateway = started("b1 b2 b3 b4 b5 b6", max_attempts=5)
     dead, tried, now = {"b1", "b2", "b3", "b4"}, [], 1.0
@@ -141,13 +141,13 @@
                 if outcome is not i.Outcome.OK:
                     tried.append((now, attempt))
                 actions = gateway.handle(now, ended(send, outcome, attempt))
-        assert not of(actions, i.Refuse)
+        assert not actions_of(actions, i.Refuse)
     late = [attempt for at, attempt in tried if at > 2.0]
     assert set(late) == {0}
     assert len([at for at, _ in tried if at > 15.0]) <= 8  # one a second each would be twenty-four
 
 
-def test_when_all_were_suspected_they_are_tried_until_one_answers() -> None:
+def test_trials_continue_while_all_backends_are_ejected() -> None:
     """Two seconds in which no connection came up, and an ingress refused everything for good."""
     gateway, now, late = started("b1 b2 b3 b4 b5 b6", gateways=40), 1.0, 0
     for n in range(600):
@@ -161,7 +161,7 @@
     assert all(backend.ejected_since is None for backend in gateway.backend_order)
 
 
-def test_one_that_turns_away_is_avoided_and_the_limit_stays() -> None:
+def test_a_backend_that_answers_full_is_ejected_and_the_limit_stays() -> None:
     """Those that drained turned requests away at once: the limit fell from 8 to 1.7 on idle ones."""
     gateway = started("b1 b2 b3")
     gateway.avg_in_flight = 100.0
@@ -175,17 +175,17 @@
     assert sum(send.backend == "b1" for some in got for send in some) <= 1
 
 
-def test_answers_that_are_lost_do_not_fill_the_room() -> None:
+def test_lost_responses_do_not_use_up_the_capacity() -> None:
     """Lost answers: work long done was counted as out until its client gave up."""
     gateway = started("b1 b2 b3")
     lost = [gateway.handle(1.0, request(f"l{n}", tenant=f"l{n}")) for n in range(60)]
-    assert any(of(actions, i.Refuse) for actions in lost)
+    assert any(actions_of(actions, i.Refuse) for actions in lost)
     for send in [send for actions in lost for send in sends(actions)][::4]:
         gateway.handle(1.1, ended(send, i.Outcome.OK))  # so that no backend is suspected
     assert sends(gateway.handle(2.0, request("r", tenant="later")))
 
 
-def test_long_work_on_idle_backends_does_not_wear_the_limit_down() -> None:
+def test_slow_requests_on_idle_backends_do_not_reduce_the_limit() -> None:
     """A calm half minute took the limit from 8 to 3, and the next burst was refused on idle backends."""
     gateway = started("b1 b2 b3 b4")
     before = gateway.limit
@@ -205,7 +205,7 @@
 PAID = replace(BASIC, name="paid", excess_worth=0.3, excess_cost=0.0)
 
 
-def test_beyond_its_quota_a_plan_that_pays_for_it_gets_room_that_nobody_else_needs() -> None:
+def test_a_plan_that_pays_for_excess_gets_spare_capacity() -> None:
     """What earns 0.3 of its worth was refused on idle backends; what earns nothing still is."""
     gateway = started("b1 b2 b3 b4", plans=(BASIC, PAID))
     taken = {"basic": 0, "paid": 0}
@@ -218,7 +218,7 @@
     assert max(quota.own for quota in gateway.quotas.values()) <= 10  # it takes nothing from the quota
 
 
-def test_what_is_beyond_a_quota_yields_first() -> None:
+def test_requests_over_quota_yield_first() -> None:
     gateway = started("b1 b2 b3 b4", plans=(BASIC, PAID))
     for n in range(10):
         for send in sends(gateway.handle(1.0, request(f"u{n}", plan="paid"))):
@@ -229,7 +229,7 @@
     assert sends(inside)  # a share of the room is left to those within their quotas
 
 
-def test_one_broken_connection_does_not_cost_a_backend() -> None:
+def test_one_broken_connection_does_not_eject_a_backend() -> None:
     """On a day of resets now and then a third of the fleet was left out, and the rest was overloaded."""
     for outcomes, suspected in [
         ([i.Outcome.RESET], False),
@@ -246,7 +246,7 @@
         assert (gateway.backends["b1"].ejected_since is not None) is suspected
 
 
-def test_a_backend_whose_answers_were_lost_is_tried_again_before_long() -> None:
+def test_a_backend_with_lost_responses_is_soon_used_again() -> None:
     """Avoided ones learn nothing: four of nine stood at six times the usual latency for good."""
     gateway = started("b1 b2 b3")
     lost = gateway.backends["b1"]
@@ -265,7 +265,7 @@
     assert chosen[21.0] >= 5
 
 
-def test_the_limit_comes_back_within_seconds_while_it_is_in_use_and_answers_are_quick() -> None:
+def test_the_limit_recovers_within_seconds_while_it_is_in_use_and_answers_are_fast() -> None:
     """After a short overload requests were refused for half a minute on backends with nothing to do."""
     gateway = started("b1 b2 b3")
     gateway.limit, gateway.avg_in_flight = 2.0, 10.0
@@ -275,7 +275,7 @@
     assert gateway.limit >= 5.0
 
 
-def test_one_that_answers_with_errors_in_a_row_gets_only_safe_trials_until_it_serves() -> None:
+def test_a_backend_with_consecutive_errors_gets_only_safe_trials_until_it_recovers() -> None:
     gateway, sent, out = started("good bad"), list[str](), list[tuple[float, i.Send]]()
 
     def ask(n: int, outcome: i.Outcome) -> None:
@@ -299,7 +299,7 @@
     assert gateway.ejected_backends() == set()
 
 
-def test_each_gateway_of_a_few_sends_to_a_cold_one_within_5_s_however_slow_answers_are() -> None:
+def test_in_a_small_cluster_every_gateway_sends_to_a_cold_backend_within_5_s() -> None:
     for number in range(4):
         gateway = started("b1 b2 b3", gateways=4, number=number)
         gateway.baseline = dict.fromkeys(gateway.baseline, 2.0)
@@ -313,7 +313,7 @@
         assert "cold" in served
 
 
-def test_what_warm_ones_take_at_ease_is_what_like_cold_ones_are_judged_by() -> None:
+def test_the_load_of_warm_backends_is_learned_only_without_overload() -> None:
     def after(rate: int, out_for: float, gateways: int) -> float:
         gateway, out = started("b1 b2 b3", gateways=gateways), list[tuple[float, i.Send]]()
         for n in range(rate * 20):
--- a/tests/test_tries.py
+++ b/tests/test_tries.py
@@ -11,7 +11,7 @@
 CAP, DEADLINE = 0.5 * READ.deadline, READ.deadline
 
 
-def usual(*times: float) -> UsualTimeout:
+def timeout_after(*times: float) -> UsualTimeout:
     """The usual time after these tries."""
     known = UsualTimeout(DEADLINE)
     for time in times:
@@ -19,32 +19,32 @@
     return known
 
 
-def test_a_try_of_the_usual_time_tells_nothing_and_any_other_how_long_its_client_waited() -> None:
-    known = usual(*[CAP] * 10)
+def test_only_an_unusual_timeout_reveals_how_long_the_client_has_waited() -> None:
+    known = timeout_after(*[CAP] * 10)
     assert known.observe(CAP + 0.002) == 0
     assert known.observe(DEADLINE - 0.4) == pytest.approx(0.4)  # a last try has more than the usual
     assert known.observe(0.5) == DEADLINE - 0.5
 
 
-def test_the_usual_time_stays_that_of_first_tries_where_many_are_last_ones() -> None:
+def test_many_last_retries_do_not_change_the_usual_timeout() -> None:
     """In an overload a third of all tries are last ones; they became the usual, and first ones late."""
-    known = usual(*[CAP, CAP, DEADLINE - 0.4] * 50)
+    known = timeout_after(*[CAP, CAP, DEADLINE - 0.4] * 50)
     assert known.timeout == CAP
 
 
-def test_nothing_is_late_before_a_usual_time_is_known_or_where_there_is_none() -> None:
+def test_no_request_is_late_without_a_usual_timeout() -> None:
     assert UsualTimeout(DEADLINE).observe(0.5) == 0
-    scattered = usual(*[0.3 + 0.13 * (n * 7 % 20) for n in range(200)])
+    scattered = timeout_after(*[0.3 + 0.13 * (n * 7 % 20) for n in range(200)])
     assert scattered.observe(1.0) == 0
 
 
-def test_a_new_usual_time_is_learnt() -> None:
-    known = usual(*[CAP] * 1000, *[0.6 * DEADLINE] * 250)
+def test_a_new_usual_timeout_is_learned() -> None:
+    known = timeout_after(*[CAP] * 1000, *[0.6 * DEADLINE] * 250)
     assert known.timeout == 0.6 * DEADLINE
     assert known.observe(CAP) == DEADLINE - CAP
 
 
-def test_under_pressure_a_last_try_yields_to_first_ones() -> None:
+def test_under_overload_a_last_retry_yields_to_first_attempts() -> None:
     """It has more time left than they, and was taken for the fresher one."""
     gateway = started(gateways=1)
     for n in range(30):  # two of three are first tries
@@ -63,7 +63,7 @@
     assert sends(first)
 
 
-def test_a_try_with_less_time_than_an_answer_takes_yields_under_pressure() -> None:
+def test_under_overload_a_request_with_a_too_short_timeout_yields() -> None:
     """Most clients of a day gave up after a quarter of a second, came again, taking the room of the rest."""
     hasty = 1.5 * READ.aim / 8  # the usual latency is an eighth of the aim at first
     gateway = started(gateways=1)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -39,7 +39,7 @@
 from tests.test_driver import ScriptedDriver
 from tests.test_ops import PING, VALUE, ask, with_ops
 from tests.wire import LIMIT, Program, command, config, member, program, read_until, run_until
-from tests.world import Pair, backend, listed, request, sends, started
+from tests.world import PeerNetwork, backend, listed, request, sends, started
 
 # Files.
 
@@ -292,16 +292,16 @@
 
 
 def test_use_counts_once_at_the_peers_whichever_process_admitted_it() -> None:
-    pair = Pair()
-    pair.epochs(4)
+    pair = PeerNetwork()
+    pair.run_epochs(4)
     for n in range(4):
-        assert pair.ask(0, f"a{n}")
-    pair.epochs(3)
-    old = pair.live[0]
+        assert pair.submit(0, f"a{n}")
+    pair.run_epochs(3)
+    old = pair.gateways[0]
     state = json.loads(json.dumps(handover.export_state(old)))
     before = handover.use_counts(old)
     pair.restart(0)
-    new = pair.live[0]
+    new = pair.gateways[0]
     handover.import_state(new, state)
     key = next(iter(old.quotas))
     assert new.quotas[key].own == pytest.approx(old.quotas[key].own)
@@ -310,9 +310,9 @@
     assert sends(actions)
     (row,) = handover.use_since(old, before)
     handover.add_use(new, pair.now, *row)
-    pair.epochs(3)
+    pair.run_epochs(3)
     own = new.quotas[key]
-    seen = pair.live[1].quotas[key]
+    seen = pair.gateways[1].quotas[key]
     assert own.counts[0] == old.quotas[key].counts[0] == seen.counts[0]  # nothing counted twice, nothing lost
     assert seen.others == pytest.approx(own.own, abs=0.3)
 
--- a/tests/test_vast.py
+++ b/tests/test_vast.py
@@ -14,12 +14,12 @@
 from hoistfold import interface as i
 from hoistfold.gateway import MIN_SHARERS, MIN_SUBSET, Gateway
 from lab.vast import CORES, VIEW, Fleet, settings
-from tests.world import backend, listed, of, request, sealed, sends
+from tests.world import actions_of, backend, listed, request, sends, with_checksum
 
 SIZES = st.tuples(st.integers(1, 100), st.integers(0, 200))
 
 
-def told(gateways: int, names: list[str], number: int) -> Gateway:
+def gateway_with(gateways: int, names: list[str], number: int) -> Gateway:
     """A gateway of a fleet with a list of warm backends in three rooms."""
     gateway = Gateway(settings(number, gateways), number)
     gateway.handle(0.0, i.Started())
@@ -27,7 +27,7 @@
     return gateway
 
 
-def near(gateway: Gateway) -> set[str]:
+def subset(gateway: Gateway) -> set[str]:
     """The backends it works with."""
     return {b.entry.backend for b in gateway._subset()}
 
@@ -37,7 +37,9 @@
 def test_the_union_covers_every_backend_and_shares_are_even(sizes: tuple[int, int]) -> None:
     gateways, count = sizes
     names = [f"b{n}" for n in range(count)]
-    uses = Counter(name for number in range(gateways) for name in near(told(gateways, names, number)))
+    uses = Counter(
+        name for number in range(gateways) for name in subset(gateway_with(gateways, names, number))
+    )
     reach = min(count, max(MIN_SUBSET, math.ceil(MIN_SHARERS / gateways * count)))
     assert sum(uses.values()) == gateways * reach
     assert set(uses) == set(names)
@@ -46,18 +48,18 @@
 
 @how(max_examples=25, deadline=None, derandomize=True)
 @given(st.integers(1, 100), st.integers(1, 200), st.integers(0, 199), st.floats(0.0, 16.9))
-def test_a_cold_one_has_its_doors_and_they_are_who_works_with_it_anyway(
+def test_a_cold_backend_has_its_sharers_and_they_include_its_usual_gateways(
     gateways: int, count: int, which: int, age: float
 ) -> None:
     names = [f"b{n}" for n in range(count)]
     cold = names[which % count]
-    live = [told(gateways, names, number) for number in range(gateways)]
-    users = {n for n, gateway in enumerate(live) if cold in near(gateway)}
+    live = [gateway_with(gateways, names, number) for number in range(gateways)]
+    users = {n for n, gateway in enumerate(live) if cold in subset(gateway)}
     for gateway in live:
         entry = backend(cold, zone="abc"[ord(cold[-1]) % 3], started=99.0 - age)
         gateway.handle(99.0 - age, listed(entry, kind=i.ListKind.CHANGES))
         gateway.now = 99.0
-    doors = {n for n, gateway in enumerate(live) if cold in near(gateway)}
+    doors = {n for n, gateway in enumerate(live) if cold in subset(gateway)}
     most = live[0]._slow_start_sharers(live[0].backends[cold])
     assert len(doors) <= min(gateways, most)
     assert len(doors) >= min(gateways, int(most))
@@ -65,7 +67,7 @@
 
 
 @pytest.mark.parametrize(("gateways", "backends"), [(3, 10), (10, 20), (20, 30), (40, 60)])
-def test_one_put_back_cold_gets_from_all_that_used_it_within_5_s(gateways: int, backends: int) -> None:
+def test_a_restarted_backend_is_used_by_its_usual_gateways_within_5_s(gateways: int, backends: int) -> None:
     fleet = Fleet(gateways, backends, rate=8.0)
     fleet.run(8.0)
     users = {number for _, number, hop in fleet.sent if hop == "b1"}
@@ -79,21 +81,24 @@
     assert users <= {number for at, number, hop in fleet.sent if hop == "b1" and at > 11.0}
 
 
-def test_rooms_take_turns_and_neighbours_work_with_others() -> None:
+def test_subsets_alternate_zones_and_differ_between_neighbors() -> None:
     """Neighbours by number serve the same customers; each next hop met by all was met by each alone."""
-    sets = [near(told(40, [f"b{n}-{n % 3}" for n in range(60)], number)) for number in range(40)]
+    sets = [subset(gateway_with(40, [f"b{n}-{n % 3}" for n in range(60)], number)) for number in range(40)]
     assert all(set(Counter(name[-1] for name in one).values()) == {2} for one in sets)
     assert sum(not one & sets[number - 1] for number, one in enumerate(sets)) >= 35
 
 
 @how(max_examples=15, deadline=None, derandomize=True)
 @given(st.integers(1, 100), st.integers(2, 200), st.integers(0, 199))
-def test_a_join_or_a_loss_moves_few(gateways: int, count: int, lost: int) -> None:
+def test_adding_or_removing_a_backend_changes_few_subsets(gateways: int, count: int, lost: int) -> None:
     names = [f"b{n}" for n in range(count)]
     without = [name for name in names if name != f"b{lost % count}"]
     joins = losses = 0
     for number in range(gateways):
-        more, fewer = near(told(gateways, names, number)), near(told(gateways, without, number))
+        more, fewer = (
+            subset(gateway_with(gateways, names, number)),
+            subset(gateway_with(gateways, without, number)),
+        )
         joins, losses = joins + len(more - fewer), losses + len(fewer - more)
     # what the one itself carried, and one more at an end of each ring, where rooms may take turns anew
     carried = gateways * len(more) / count
@@ -160,7 +165,7 @@
 @pytest.mark.parametrize("changes", [
     {"peer_intake": 0.0}, {"gateways": 100_000}, {"gateways": 1}, {"peer_intake": 1e9}, {"max_attempts": 1},
 ])  # fmt: skip
-def test_absurd_settings_are_borne(changes: dict[str, float]) -> None:
+def test_extreme_settings_are_handled(changes: dict[str, float]) -> None:
     gateway = Gateway(replace(settings(0, 40), **changes), 1)  # type: ignore[arg-type]
     gateway.handle(0.0, i.Started())
     gateway.handle(0.0, listed(*(backend(f"b{n}") for n in range(3000))))
@@ -169,14 +174,14 @@
         event = request(f"r{n}", class_name="view", plan="full", tenant=f"c{n}", ring_size=1)
         served += len(sends(gateway.handle(1.0 + n / 10, event)))
     assert served >= (40 if gateway.sharers < 100 else 1)  # a share below one attempt still serves
-    assert len(of(gateway.handle(9.0, i.TimerFired(0)), i.SetTimer)) == 1  # the epoch goes on
+    assert len(actions_of(gateway.handle(9.0, i.TimerFired(0)), i.SetTimer)) == 1  # the epoch goes on
 
 
 @how(max_examples=30, deadline=None, derandomize=True)
 @given(st.binary(max_size=256), st.integers(-1, 60))
-def test_forged_datagrams_change_nothing_that_lasts(content: bytes, sender: int) -> None:
-    gateway = told(40, ["b1", "b2"], 3)
-    for message in (content, sealed(content), sealed(content[: len(content) // 19 * 19])):
+def test_forged_messages_have_no_lasting_effect(content: bytes, sender: int) -> None:
+    gateway = gateway_with(40, ["b1", "b2"], 3)
+    for message in (content, with_checksum(content), with_checksum(content[: len(content) // 19 * 19])):
         gateway.handle(1.0, i.PeerMessage(sender, message))
     assert len(gateway.quotas) <= 3 * (256 // 19)
     event = request("r", class_name="view", plan="full", ring_size=1, tenant="honest")
--- a/tests/world.py
+++ b/tests/world.py
@@ -95,53 +95,53 @@
     return [action for action in actions if isinstance(action, i.Send)]
 
 
-def of(actions: list[i.Action], kind: type) -> list[Any]:
+def actions_of(actions: list[i.Action], kind: type) -> list[Any]:
     """The actions of one kind."""
     return [action for action in actions if isinstance(action, kind)]
 
 
-class Pair:
+class PeerNetwork:
     """Gateways that exchange their peer messages, without any clients or servers."""
 
     def __init__(self, count: int = 2, **changes: Any) -> None:
         self.now = 0.0
         self.changes = {"gateways": count} | changes
-        self.live: dict[int, Gateway] = {}
+        self.gateways: dict[int, Gateway] = {}
         for number in range(count):
             self.restart(number)
 
     def restart(self, number: int) -> None:
         """A gateway begins anew, empty."""
         gateway = Gateway(settings(number=number, **self.changes), 100 + number + int(self.now * 1000))
-        self.live[number] = gateway
+        self.gateways[number] = gateway
         start = gateway.handle(self.now, i.Started())
         gateway.handle(self.now, listed(*(backend(f"b{n}") for n in range(8))))
         self.deliver(number, start)
 
     def deliver(self, sender: int, actions: list[i.Action]) -> None:
         """Hands the messages among some actions to whom they are for."""
-        for action in of(actions, i.SendPeerMessage):
-            for number in sorted(self.live):
+        for action in actions_of(actions, i.SendPeerMessage):
+            for number in sorted(self.gateways):
                 if number != sender and action.peer in (None, number):
-                    self.live[number].handle(self.now, i.PeerMessage(sender, action.content))
+                    self.gateways[number].handle(self.now, i.PeerMessage(sender, action.content))
 
-    def epochs(self, count: int) -> None:
+    def run_epochs(self, count: int) -> None:
         """Lets so many epochs pass."""
         for _ in range(count):
-            self.now += next(iter(self.live.values())).epoch
-            for number in sorted(self.live):
-                self.deliver(number, self.live[number].handle(self.now, i.TimerFired(0)))
+            self.now += next(iter(self.gateways.values())).epoch
+            for number in sorted(self.gateways):
+                self.deliver(number, self.gateways[number].handle(self.now, i.TimerFired(0)))
 
-    def ask(self, number: int, name: str, **changes: Any) -> bool:
+    def submit(self, number: int, name: str, **changes: Any) -> bool:
         """A try at one gateway, answered at once when it is sent on."""
         event = request(name, **({"ring_size": 2} | changes))
-        actions = self.live[number].handle(self.now, event)
+        actions = self.gateways[number].handle(self.now, event)
         for send in sends(actions):
-            self.live[number].handle(self.now, ended(send, i.Outcome.OK))
+            self.gateways[number].handle(self.now, ended(send, i.Outcome.OK))
         return bool(sends(actions))
 
 
-def sealed(entries: bytes) -> bytes:
+def with_checksum(entries: bytes) -> bytes:
     """A peer message of any content under a right checksum."""
     return struct.pack(">I", zlib.crc32(entries)) + entries
 
@@ -151,18 +151,18 @@
 
     def __init__(self, count: int = 300, **changes: Any) -> None:
         self.now = 1.0
-        self.bytes = 0
-        self.dead: set[int] = set()
+        self.bytes_sent = 0
+        self.unreachable: set[int] = set()
         self.changes = {"gateways": count} | changes
-        self.live: dict[int, Gateway] = {}
+        self.gateways: dict[int, Gateway] = {}
         for number in range(count):
             self.restart(number)
 
     def restart(self, number: int) -> None:
         """A gateway begins anew, empty."""
-        self.live[number] = started(seed=number, now=self.now, number=number, **self.changes)
+        self.gateways[number] = started(seed=number, now=self.now, number=number, **self.changes)
 
-    def pass_on(self, sender: int, actions: list[i.Action]) -> list[i.Action]:
+    def deliver(self, sender: int, actions: list[i.Action]) -> list[i.Action]:
         """Delivers messages until none is left; returns what the gateways do besides."""
         done: list[i.Action] = []
         waiting = [(sender, action) for action in actions]
@@ -170,76 +170,76 @@
             sender, action = waiting.pop(0)
             if not isinstance(action, i.SendPeerMessage):
                 done.append(action)
-            elif action.peer is not None and action.peer not in self.dead:
-                self.bytes += len(action.content)
+            elif action.peer is not None and action.peer not in self.unreachable:
+                self.bytes_sent += len(action.content)
                 assert len(action.content) <= 256
-                after = self.live[action.peer].handle(self.now, i.PeerMessage(sender, action.content))
+                after = self.gateways[action.peer].handle(self.now, i.PeerMessage(sender, action.content))
                 waiting += [(action.peer, event) for event in after]
         return done
 
-    def ask(self, number: int, name: str, **changes: Any) -> bool:
+    def submit(self, number: int, name: str, **changes: Any) -> bool:
         """A try at one gateway, with the timers that end its wait; True when it is sent on."""
         event = request(name, **({"ring_size": 100, "ring_first": 250} | changes))
-        actions = self.pass_on(number, self.live[number].handle(self.now, event))
+        actions = self.deliver(number, self.gateways[number].handle(self.now, event))
         self.now += 0.2
-        for timer in of(actions, i.SetTimer):
+        for timer in actions_of(actions, i.SetTimer):
             if timer.delay < 0.2:
-                actions += self.pass_on(
-                    number, self.live[number].handle(self.now, i.TimerFired(timer.handle))
+                actions += self.deliver(
+                    number, self.gateways[number].handle(self.now, i.TimerFired(timer.handle))
                 )
         for send in sends(actions):
-            self.live[number].handle(self.now, ended(send, i.Outcome.OK))
+            self.gateways[number].handle(self.now, ended(send, i.Outcome.OK))
         return bool(sends(actions))
 
 
-class Counting:
+class CounterNetwork:
     """Gateways that may tell each other nothing, with a counter; its answers come at once or are held."""
 
     def __init__(self, count: int = 3, **changes: Any) -> None:
         self.now = 1000.0
         self.numbers: dict[int, float] = {}
-        self.held: list[tuple[int, i.AddToCounter]] | None = (
+        self.delayed_calls: list[tuple[int, i.AddToCounter]] | None = (
             None  # calls that have not come to the counter yet
         )
         self.outcome = i.Outcome.OK
         self.calls = 0
         changes = {"gateways": count, "may_message_peers": False, "may_use_counter": True} | changes
-        self.live = [started(seed=n, now=self.now, number=n, **changes) for n in range(count)]
+        self.gateways = [started(seed=n, now=self.now, number=n, **changes) for n in range(count)]
 
-    def pass_on(self, number: int, actions: list[i.Action]) -> list[i.Action]:
+    def deliver(self, number: int, actions: list[i.Action]) -> list[i.Action]:
         """Carries calls out until none is left; returns what the gateway does besides."""
         done: list[i.Action] = []
         for action in actions:
             if not isinstance(action, i.AddToCounter):
                 done.append(action)
-            elif self.held is not None:
-                self.held.append((number, action))
+            elif self.delayed_calls is not None:
+                self.delayed_calls.append((number, action))
             else:
-                done += self.answer(number, action)
+                done += self.answer_call(number, action)
         return done
 
-    def answer(self, number: int, call: i.AddToCounter) -> list[i.Action]:
+    def answer_call(self, number: int, call: i.AddToCounter) -> list[i.Action]:
         """One call has its turn at the counter."""
         self.calls += 1
         if self.outcome is i.Outcome.OK:
             self.numbers[call.name] = self.numbers.get(call.name, 0.0) + call.amount
         total = self.numbers.get(call.name, 0.0)
         answered = i.CounterAnswered(call.name, self.outcome, total, 0.002)
-        return self.pass_on(number, self.live[number].handle(self.now, answered))
+        return self.deliver(number, self.gateways[number].handle(self.now, answered))
 
-    def release(self, at_once: bool = True) -> list[i.Action]:
+    def release_calls(self, at_once: bool = True) -> list[i.Action]:
         """Held calls have their turn, in their order; those that follow from them too, or are held again."""
-        waiting, self.held = self.held or [], None if at_once else []
-        return [action for number, call in waiting for action in self.answer(number, call)]
+        waiting, self.delayed_calls = self.delayed_calls or [], None if at_once else []
+        return [action for number, call in waiting for action in self.answer_call(number, call)]
 
-    def come(self, number: int, name: str, **changes: Any) -> list[i.Action]:
+    def receive(self, number: int, name: str, **changes: Any) -> list[i.Action]:
         """A try comes to one gateway."""
-        event = request(name, **({"ring_size": len(self.live)} | changes))
-        return self.pass_on(number, self.live[number].handle(self.now, event))
+        event = request(name, **({"ring_size": len(self.gateways)} | changes))
+        return self.deliver(number, self.gateways[number].handle(self.now, event))
 
-    def ask(self, number: int, name: str, **changes: Any) -> bool:
+    def submit(self, number: int, name: str, **changes: Any) -> bool:
         """A try, answered at once when it is sent on; True where it is."""
-        actions = self.come(number, name, **changes)
+        actions = self.receive(number, name, **changes)
         for send in sends(actions):
-            self.pass_on(number, self.live[number].handle(self.now, ended(send, i.Outcome.OK)))
+            self.deliver(number, self.gateways[number].handle(self.now, ended(send, i.Outcome.OK)))
         return bool(sends(actions))
