--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire, by a transcript of our own."""
+"""Wire format, tested with a recorded transcript."""
 
 import io
 import json
--- a/tests/test_call_budget.py
+++ b/tests/test_call_budget.py
@@ -1,4 +1,4 @@
-"""How many of the requests the counter is asked about, by what its answers say of it."""
+"""How the share of requests with a counter call follows the counter's answers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def share_after(budget: CallBudget, since: float, *ends: tuple[i.Outcome, float]) -> float:
-    """The ends of calls, one after another; returns the share that is asked for after that."""
+    """Ends calls one after another; returns the share afterwards."""
     for number, (outcome, latency) in enumerate(ends):
         budget.call_ended(since + 0.1 * number, outcome, latency)
     return budget.share
--- a/tests/test_coordinators.py
+++ b/tests/test_coordinators.py
@@ -1,4 +1,4 @@
-"""Quotas kept by coordinators: the budget of messages, leases, ceilings, restarts and partitions."""
+"""Quotas held by coordinators: message budget, leases, ceilings, restarts and partitions."""
 
 from __future__ import annotations
 
@@ -27,7 +27,9 @@
 def test_messages_stay_within_the_intake_and_quotas_stay_usable(
     gateways: int, load: float, intake: float
 ) -> None:
-    """With 32 gateways and an intake of 40 a fifth of the tries inside was refused with half unused."""
+    """Guards against refusals of tenants below half of their quota: with 32 gateways and an intake of 40 a
+    fifth of the requests within quota was refused.
+    """
     fleet = TenantFleet(gateways, intake=intake, load=load)
     fleet.settle(WARM_UP_SECONDS)
     fleet.run(WARM_UP_SECONDS + 6.0)
@@ -41,7 +43,7 @@
 
 
 def heavy_fleet(gateways: int) -> TenantFleet:
-    """All tenants with a ceiling ask for many times their quota, at all gateways alike."""
+    """All tenants with a ceiling request many times their quota, evenly at all gateways."""
     fleet = TenantFleet(gateways, intake=100.0, load=0.4)
     for tenant in fleet.tenants.values():
         if tenant.plan is CHAMBERS:
@@ -52,7 +54,7 @@
 
 @pytest.mark.parametrize("gateways", [8, 32])
 def test_a_ceiling_holds_in_a_partition(gateways: int) -> None:
-    """Each side has coordinators of its own; together they grant no more than one ceiling."""
+    """Each side has its own coordinators; together they grant no more than one ceiling."""
     fleet = heavy_fleet(gateways)
     fleet.run(2.0)
     fleet.cut_off = set(range(gateways // 2))
@@ -65,7 +67,7 @@
 
 @pytest.mark.parametrize("gateways", [8, 32])
 def test_a_ceiling_holds_while_gateways_restart(gateways: int) -> None:
-    """A coordinator that starts anew knows not what it granted: its part of the ceiling fills from nought."""
+    """A restarted coordinator does not know what it granted, so its part of the ceiling refills from 0."""
     fleet = heavy_fleet(gateways)
     for turn in range(3 * gateways):
         fleet.run(1.0 + 0.1 * turn)
@@ -75,28 +77,28 @@
     assert fleet.outcome.ceiling_overrun <= CHAMBERS.ceiling_slack
 
 
-# One tenant, step by step.
+# A single tenant, step by step.
 
 
 def coordinator_and_member(ring: LongRing) -> tuple[int, int]:
-    """The primary coordinator of the common tenant, and a member that is none."""
+    """The primary coordinator of the common tenant, and a member that is not a coordinator."""
     coordinators = coordinators_of(ring)
     return coordinators[0], next(n for n in range(250, 300) if n not in coordinators)
 
 
 def common_quota(ring: LongRing, number: int) -> Quota:
-    """What a gateway keeps of the common tenant."""
+    """A gateway's quota of the common tenant."""
     return ring.gateways[number].quotas[key_of("basic c1")]
 
 
 def ring_with_lease() -> tuple[LongRing, int, int]:
-    """A ring, a coordinator and a member that was granted one unit more than it asked for."""
+    """A ring, a coordinator, and a member that holds a lease of one unit."""
     ring = LongRing()
     coordinator, member = coordinator_and_member(ring)
     ring.now += 100.0
     gateway = ring.gateways[member]
     gateway.now = ring.now
-    gateway.quota_of(key_of("basic c1"), BASIC, 250, 100).own_rate = 8.0  # busy of late
+    gateway.quota_of(key_of("basic c1"), BASIC, 250, 100).own_rate = 8.0  # recently busy
     assert ring.submit(member, "a")
     return ring, coordinator, member
 
@@ -106,21 +108,21 @@
     quota, at_coordinator = common_quota(ring, member), common_quota(ring, coordinator)
     assert quota.lease == 1.0
     assert at_coordinator.member_use == 2.0
-    assert ring.submit(member, "b")  # by the lease, with no message
+    assert ring.submit(member, "b")  # from the lease, without a message
     assert quota.lease == 0.0
     assert at_coordinator.counts[quota.index] == quota.counts[quota.index] == 2 * COUNTS_PER_UNIT
     quota.own_rate = 8.0
     assert ring.submit(member, "c")
     assert at_coordinator.counts[quota.index] == 4 * COUNTS_PER_UNIT
-    quota.lease_expires_at, quota.own_rate = ring.now, 0.0  # it runs out unused
+    quota.lease_expires_at, quota.own_rate = ring.now, 0.0  # expires unused
     used_before = at_coordinator.member_use
     assert ring.submit(member, "d")
     assert at_coordinator.counts[quota.index] == quota.counts[quota.index] == 4 * COUNTS_PER_UNIT
-    assert at_coordinator.member_use < used_before  # one came back, one was taken, and time has passed
+    assert at_coordinator.member_use < used_before  # one unit returned, one taken, and time has passed
 
 
 def test_a_report_during_a_lease_does_not_return_its_units() -> None:
-    """The member may use the lease all the same, and the coordinator would grant its units again."""
+    """The member may still use the lease; otherwise the coordinator would grant its units again."""
     ring, coordinator, member = ring_with_lease()
     gateway = ring.gateways[member]
     quota, at_coordinator = common_quota(ring, member), common_quota(ring, coordinator)
@@ -131,7 +133,7 @@
 
 
 def test_requests_that_arrive_during_an_acquisition_wait_for_it() -> None:
-    """Of a plan with a ceiling they were refused, as an even share of it was less than one request."""
+    """Guards against refusal of waiting requests: an even share of the ceiling was less than one request."""
     ring = LongRing(60, plans=(CAPPED,), max_units=1.0)
     ring.now += 60.0
     key = key_of("capped c1")
@@ -163,7 +165,7 @@
     coordinator, member = coordinator_and_member(ring)
     gateway = ring.gateways[member]
     ring.unreachable = {coordinator}
-    assert ring.submit(member, "a")  # by the next coordinator
+    assert ring.submit(member, "a")  # granted by the next coordinator
     assert gateway.reachable(coordinator)
     assert ring.submit(member, "b")
     assert not gateway.reachable(coordinator)
@@ -182,7 +184,7 @@
     assert sends(actions)
     assert not actions_of(actions, i.SendPeerMessage)
     assert key_of("basic c1") in gateway.coordination.unreported[coordinator]
-    ring.now += 10.0  # the budget is back: the next ask tells of both
+    ring.now += 10.0  # the budget has refilled: the next request reports both
     assert ring.submit(member, "c")
     assert key_of("basic c1") not in gateway.coordination.unreported[coordinator]
     place = gateway.quotas[key_of("basic c1")].index
@@ -216,12 +218,12 @@
     assert key_of("basic c1") in gateway.coordination.unreported[coordinators[1]]
     ring.now += 100.0
     ring.unreachable = {coordinators[0]}
-    assert ring.submit(member, "b")  # asked by the secondary: the use goes with it
+    assert ring.submit(member, "b")  # sent to the secondary, which receives the pending report too
     assert key_of("basic c1") not in gateway.coordination.unreported[coordinators[1]]
 
 
 def test_missing_replies_do_not_extend_the_pause() -> None:
-    """Only a word that there is no room does: lost messages closed tenants for seconds."""
+    """Only refusals by a coordinator do: lost messages blocked tenants for seconds."""
     ring = LongRing(plans=(CAPPED,), max_units=1.0)
     ring.now += 60.0
     ring.unreachable = set(ring.gateways) - {255}
@@ -233,7 +235,7 @@
 
 
 def test_no_message_is_sent_for_a_request_without_a_usable_backend() -> None:
-    """What was refused for want of a backend had its units reserved and cost up to four messages."""
+    """Guards against wasted messages: units were reserved for requests that no backend could take."""
     ring = LongRing()
     _, member = coordinator_and_member(ring)
     gateway = ring.gateways[member]
@@ -252,14 +254,14 @@
     ring.now += 60.0
     ring.unreachable = {members[0]}
     taken = 0
-    for turn in range(60):  # sixty requests in twelve seconds, at members that are no coordinators
+    for turn in range(60):  # 60 requests in 12 s, at members that are not coordinators
         taken += ring.submit(members[10 + turn], f"r{turn}", plan="capped")
     parts = ceiling_shares(CAPPED)
     allowed = (parts.secondary + parts.members) * (CAPPED.ceiling_burst + 12.0 * CAPPED.ceiling_rate)
     assert 0 < taken <= allowed
 
 
-# The parts, each on its own.
+# Components.
 
 
 def test_the_shares_of_a_ceiling_add_up_and_the_primary_covers_the_quota() -> None:
--- a/tests/test_counted.py
+++ b/tests/test_counted.py
@@ -1,4 +1,4 @@
-"""Quotas where no peer may be told: the counter keeps each customer's store."""
+"""Quotas without peer messages: the counter service holds each tenant's window."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 UNAVAILABLE = [i.Outcome.TIMEOUT, i.Outcome.FULL, i.Outcome.CONNECT_FAILED, i.Outcome.RESET]
 
 
-def admitted(network: CounterNetwork, tries: int, tag: str = "a") -> int:
-    """How many of so many tries, one gateway after the other, are sent on."""
-    return sum(network.submit(n % len(network.gateways), f"{tag}{n}") for n in range(tries))
+def admitted(network: CounterNetwork, tries: int, prefix: str = "a") -> int:
+    """Number of requests admitted, submitted to one gateway after the other."""
+    return sum(network.submit(n % len(network.gateways), f"{prefix}{n}") for n in range(tries))
 
 
 def test_a_hundred_gateways_hold_a_small_quota_together() -> None:
@@ -46,7 +46,7 @@
 
 def test_requests_within_the_quota_are_admitted_at_every_gateway() -> None:
     network = CounterNetwork(3)
-    assert all(network.submit(1, f"a{n}") for n in range(10))  # all of the burst by one gateway
+    assert all(network.submit(1, f"a{n}") for n in range(10))  # the whole burst at one gateway
     assert not network.submit(0, "b")
     network.now += 0.5
     assert network.submit(0, "c")
@@ -55,7 +55,7 @@
 def test_an_idle_window_holds_no_more_than_its_burst() -> None:
     network = CounterNetwork(5)
     assert network.submit(0, "a")
-    network.now += 20.0  # all of one period
+    network.now += 20.0  # most of a period
     assert BASIC.burst <= admitted(network, 100, "b") <= (1 + TOLERANCE) * BASIC.burst
 
 
@@ -66,7 +66,7 @@
     for n in range(round(2 * PERIOD_SECONDS / step)):
         network.now += step
         assert admitted(network, 20, f"{n}.") <= step * BASIC.rate + 1
-    assert len(network.numbers) > names  # a period has ended
+    assert len(network.numbers) > names  # a new period has begun
 
 
 def test_a_request_cancelled_during_a_counter_call_is_not_sent() -> None:
@@ -76,7 +76,7 @@
     assert not sends(network.receive(0, "a"))
     network.gateways[0].handle(network.now, i.RequestCancelled("a"))
     assert not sends(network.release_calls())
-    assert admitted(network, 30, "b") == BASIC.burst - 1  # and its units are given back
+    assert admitted(network, 30, "b") == BASIC.burst - 1  # its units are given back
 
 
 def test_a_total_after_the_final_response_sends_nothing() -> None:
@@ -91,11 +91,11 @@
 def test_concurrent_corrections_are_applied_once() -> None:
     network = CounterNetwork(3)
     network.submit(2, "a")
-    network.now += 20.0  # far below nothing
+    network.now += 20.0  # far below 0
     network.delayed_calls = []
     network.receive(0, "b")
     network.receive(1, "c")
-    network.release_calls(at_once=False)  # both are told so, before either has put it right
+    network.release_calls(at_once=False)  # both read it before either has corrected it
     network.release_calls()
     assert admitted(network, 30, "d") >= BASIC.burst - 3
 
@@ -110,7 +110,7 @@
 def test_a_refused_correction_is_retried() -> None:
     network = CounterNetwork(3)
     assert admitted(network, 30) == BASIC.burst
-    network.now += 0.3  # as far as is known here there is room, so that it is asked for
+    network.now += 0.3  # the known level allows it, so the counter is called
     network.gateways[1].quotas.clear()
     network.delayed_calls = []
     network.receive(1, "b")
@@ -137,27 +137,27 @@
     network = CounterNetwork(3)
     assert admitted(network, 30) == BASIC.burst
     name = max(network.numbers, key=lambda one: network.numbers[one])
-    network.numbers[name] += 30.0  # as corrections that crossed may leave it
+    network.numbers[name] += 30.0  # as concurrent corrections may leave it
     network.now += 1.0
     assert not network.submit(0, "b")
     network.now += 3.0
-    assert network.submit(1, "c")  # thirty more would have taken fifteen seconds to drain
+    assert network.submit(1, "c")  # 30 more would have taken 15 s to drain
 
 
 def test_without_answers_own_use_drains_at_an_even_share() -> None:
     network = CounterNetwork(100)
     network.outcome = i.Outcome.CONNECT_FAILED
     assert sum(network.submit(0, f"a{n}") for n in range(9)) == 4  # one request of any size
-    network.now += 2.0  # four units at the whole rate, a twenty-fifth of one at an even share
+    network.now += 2.0  # 4 units at the full rate, 1/25 of one at an even share
     assert not network.submit(0, "b")
 
 
 def test_a_request_without_a_backend_is_not_charged() -> None:
     network = CounterNetwork(3)
-    network.gateways[0].handle(network.now, i.BackendsListed(i.ListKind.FULL, ()))  # nowhere to send to
+    network.gateways[0].handle(network.now, i.BackendsListed(i.ListKind.FULL, ()))  # no backend
     assert not network.submit(0, "a")
     assert admitted(network, 1) == 0
-    assert not network.calls  # nor a call of the counter, which has few
+    assert not network.calls  # and no call of the counter either
     assert sum(network.submit(1, f"b{n}") for n in range(30)) == BASIC.burst
 
 
@@ -166,14 +166,14 @@
     out = [sends(network.receive(n, f"a{n}", plan="limited")) for n in range(40)]
     assert sum(map(bool, out)) == LIMITED.max_open
     for number, sent in enumerate(out):
-        for send in sent:  # one ends well, the other can't be reached and is tried again
+        for send in sent:  # one succeeds, the other fails to connect and is retried
             how = i.Outcome.CONNECT_FAILED if number else i.Outcome.OK
             after = network.deliver(number, network.gateways[number].handle(network.now, ended(send, how)))
             again = sends(after)
             assert bool(again) == bool(number)
             out[number] = again
     assert sum(bool(sends(network.receive(n, f"b{n}", plan="limited"))) for n in range(40)) == 1
-    network.gateways[1].handle(network.now, i.RequestCancelled("a1"))  # its attempt is out all the same
+    network.gateways[1].handle(network.now, i.RequestCancelled("a1"))  # its attempt is still in flight
     assert not sends(network.receive(7, "c", plan="limited"))
     attempt = ended(out[1][0], i.Outcome.CANCELLED, 1)
     network.deliver(1, network.gateways[1].handle(network.now, replace(attempt, finished=True)))
@@ -207,7 +207,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_admitted_units_stay_within_an_exact_window(seed: int) -> None:
-    """Random tries with idle spells: beyond it by the tolerance at most."""
+    """Random requests with idle periods exceed it by the tolerance at most."""
     random_source, network = random.Random(seed), CounterNetwork(7)
     level = over = 0.0
     for n in range(600):
@@ -246,7 +246,7 @@
     stores.budget.share = 0.5
     few, most = asks(BASIC, 20), asks(dear, 20)
     assert few <= 6 < 18 <= most
-    answer(0.07)  # in time, though with a line that is about to turn calls away
+    answer(0.07)  # in time, but with a queue that is about to cause refusals
     assert stores.budget.share < 0.1
     for _ in range(200):
         asks(dear, 1)
@@ -257,10 +257,11 @@
 
 def test_calls_are_made_first_where_they_most_likely_change_the_decision() -> None:
     stores = CounterQuotas(0.08, lambda action: None)
-    inside, refused = (BASIC, True), (BASIC, False)  # what would be let in unasked, and what would not
-    stores.budget.over_quota_rate = {inside: 0.0, refused: 0.0}  # there is room for all
+    inside, refused = (BASIC, True), (BASIC, False)  # admitted without a call, and not
+    stores.budget.over_quota_rate = {inside: 0.0, refused: 0.0}  # the quota is never exhausted
     assert stores.budget.answer_value(refused) > stores.budget.answer_value(inside) == 0.0
-    stores.budget.over_quota_rate = {inside: 0.5, refused: 1.0}  # there is room for half, and for none
+    # exhausted for half of the calls, and for all
+    stores.budget.over_quota_rate = {inside: 0.5, refused: 1.0}
     assert stores.budget.answer_value(inside) > stores.budget.answer_value(refused) == 0.0
 
 
@@ -272,14 +273,14 @@
 
 
 def test_totals_of_a_name_arrive_in_call_order() -> None:
-    """Also where a later call's answer comes first, on another connection."""
+    """Even if a later call's answer arrives first, on another connection."""
     loop, told = Loop(print), list[tuple[Outcome, float]]()
     with Door(Store()) as door:
         quota_calls = QuotaCalls(
             loop, print, door.address, 1.0, lambda *end: told.append((end[1], end[2])), lambda name: None
         )
         first: list[Any] = []
-        quota_calls.pending[7] = deque([first])  # a call on a connection that is slow
+        quota_calls.pending[7] = deque([first])  # a call on a slow connection
         for _ in range(2):
             quota_calls.count(7, 1.0, 60.0)
         run_until(loop, lambda: all(quota_calls.pending[7][n] for n in (1, 2)))
@@ -291,7 +292,7 @@
 
 
 def test_an_unanswered_call_that_is_refused_late_is_retried() -> None:
-    """The line is longer than the limit: the module was told that it may have been added."""
+    """The queue is longer than the timeout: the module was told that the call may have been executed."""
     loop, told = Loop(print), list[Outcome]()
     with socket.create_server(("127.0.0.1", 0)) as server:
         quota_calls = QuotaCalls(
@@ -322,7 +323,7 @@
 
 
 def config_of_two(number: int, box: Box, door: Door | None) -> dict[str, Any]:
-    """A configuration of one of two ingresses that may tell each other nothing."""
+    """Configuration of one of two ingresses that may not exchange messages."""
     raw = config(known={"revision": 1, "complete": True, "members": [member(box.address)]})
     settings = raw["settings"]
     settings |= {"Me": number, "Balancers": 2}
@@ -333,7 +334,7 @@
 
 
 def served(connection: socket.socket, tries: int, name: str) -> int:
-    """How many of some requests of one customer of both ingresses are served."""
+    """Number of requests served, by one tenant of both ingresses."""
     count = 0
     for serial in range(tries):
         options = b"c=look,t=plain,d=3000,units=1,spread=2,first=0"
@@ -368,7 +369,8 @@
             time.sleep(0.01)
         leaves.close()
         way.delay = 0.0
-        assert served(stays, 1, "b") == 1  # answered after the one that left, on the counter's connection
+        # answered after the disconnected client's request, on the counter's connection
+        assert served(stays, 1, "b") == 1
         running.logged(r"end caller peer_closed answered=0 open=1")
         assert sum(box.counts.runs.values()) == 1
 
@@ -384,7 +386,7 @@
         running.process.send_signal(signal.SIGHUP)
         running.logged("reload: done")
         before = door.store.calls
-        served(connection, 4, "b")  # a call that was open as it moved makes the next ones rarer
+        served(connection, 4, "b")  # a call that was open during the change makes the next ones rarer
         assert (door.store.calls, other.store.calls > 0) == (before, True), running.log
 
 
--- a/tests/test_fleet_quotas.py
+++ b/tests/test_fleet_quotas.py
@@ -1,4 +1,4 @@
-"""What follows from the membership for quotas, ring and cold backends: modules alone, in simulated time."""
+"""Effects of the membership on quotas, ring and cold backends: modules in simulated time."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Ring(PeerNetwork):
-    """Modules whose membership is kept by members in simulated time, on one network that can be cut."""
+    """Modules with a simulated membership, on one network that can be partitioned."""
 
     def __init__(
         self, membership: bool = True, loss: float = 0.0, seed: int = 2, size: int = SIZE, **changes: Any
@@ -46,15 +46,15 @@
                     self.members.live[to].note_ring_datagram(self.now, sender)
 
     def run(
-        self, seconds: float, asked: dict[str, float], weights: tuple[float, ...] = (3, 3, 2, 2, 2)
+        self, seconds: float, load: dict[str, float], weights: tuple[float, ...] = (3, 3, 2, 2, 2)
     ) -> None:
-        """Lets time pass, with tenants that ask so many times the rate through all of those that live."""
-        due = sorted(
+        """Runs for some seconds; each tenant requests `load` times its rate through the alive members."""
+        arrivals = sorted(
             (self.now + at, tenant)
-            for tenant, times in asked.items()
-            for at in _arrivals(self.random, seconds, times * RATE)
+            for tenant, rate_factor in load.items()
+            for at in _arrivals(self.random, seconds, rate_factor * RATE)
         )
-        for at, tenant in due:
+        for at, tenant in arrivals:
             self.advance(at)
             number = self.random.choices(range(self.size), weights)[0]
             if number in self.gateways:
@@ -90,26 +90,26 @@
             if self.members is not None:
                 self.members.kill(number)
 
-    def restart_all(self, away: float, store: bool = True) -> None:
-        """All end at one moment, and come back so much later; with the store, with what that kept."""
+    def restart_all(self, downtime: float, store: bool = True) -> None:
+        """Ends all members at once and restarts them later; with the store, with what it kept."""
         assert self.members is not None
         plans = {BASIC.name: Plan(BASIC.burst, BASIC.rate)}
-        kept: dict[int, tuple[list[Record], dict[int, tuple[int, Address | None]]]] = {}
+        stored: dict[int, tuple[list[Record], dict[int, tuple[int, Address | None]]]] = {}
         for number, gateway in self.gateways.items():
             rows = handover.used_windows(gateway, self.now - 10.0)
             use = [Record("use", row[0], row[1:], "boot", self.now) for row in rows]
             membership = self.members.live[number]
-            lives: dict[int, tuple[int, Address | None]] = {
+            boots: dict[int, tuple[int, Address | None]] = {
                 update.member_id: (update.boot_time_ms, None) for update in membership.counted_updates()
             }
-            kept[number] = use, lives
+            stored[number] = use, boots
         self.kill(*list(self.gateways))
         self.notified.clear()
-        self.members.run(away)
-        self.now += away
-        for number, (use, lives) in kept.items():
+        self.members.run(downtime)
+        self.now += downtime
+        for number, (use, boots) in stored.items():
             self.restart(number)
-            self.members.start(number).restore_members(lives)
+            self.members.start(number).restore_members(boots)
             found = select_trusted(use if store else [], BootClock("boot", self.now), plans)
             rows = [[w.key, w.plan, w.first, w.size, w.own, w.others] for w in found.windows]
             handover.restore_windows(self.gateways[number], self.now, rows)
@@ -143,7 +143,7 @@
         ring.run(10.0, MIXED_LOAD)
         use[membership] = ring.verdict().use
     assert use[True] <= 1.10
-    assert use[False] > 1.3  # what the membership is for
+    assert use[False] > 1.3  # the effect of the membership
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -160,12 +160,12 @@
     assert ring.verdict().use <= 1.10
 
 
-def _minority_use_after_restart_of_all(seed: int, cut_for: float) -> float:
-    """Units in the worst 10 s after a loss of all, so long into a cut, once all earlier use has drained."""
+def _minority_use_after_restart_of_all(seed: int, partitioned_for: float) -> float:
+    """Units used by the minority in the worst 10 s after a restart of all, with earlier use drained."""
     ring = Ring(seed=seed, max_units=1.0)
     ring.run(8.0, HEAVY_LOAD)
     ring.partition(3, 4)
-    ring.advance(ring.now + cut_for)
+    ring.advance(ring.now + partitioned_for)
     ring.restart_all(6.0)
     ring.requests.clear()
     for _ in range(100):
@@ -176,8 +176,8 @@
     return ring.verdict().use * (BURST + 10.0 * RATE)
 
 
-# Of two members: their part, a request each as one must fit, and each its allowance, which is a request of
-# the most units (one), until the others' use is known.
+# Two members: their share, one request each as one always fits, and one allowance each (one request of
+# max_units) while the others' use is unknown.
 MAX_USE_AFTER_RESTART = MINORITY_SHARE * 2 / SIZE * (BURST + 10.0 * RATE) + 2 + 2
 
 
@@ -185,25 +185,22 @@
 def test_a_member_restarted_in_a_partition_waits_for_the_membership_before_it_uses_the_whole_quota(
     seed: int,
 ) -> None:
-    """After a loss of all in a cut each side spent the whole quota in the first 0.8 s.
-
-    What happens: all end, and come back when the windows they knew have drained. Each side hears its own
-    members at once and serves with the whole quota; 0.8 s later it learns whom an earlier life knew, and the
-    smaller side stops. Why: until the membership has spoken the rule of a fleet without one held, and there
-    one member that is heard is enough. What showed it: in the log of member 4, cut off with 5 from four,
-    five admissions between 9.03 and 9.28 with the whole quota, no membership told yet and nobody but 5 heard.
+    """Guards against both sides of a partition using the whole quota for 0.8 s after a restart of all.
+    Until the first membership event the rule without a membership applied, by which one reachable member is
+    enough. Each side sees its own members at once and served with the whole quota until it learned of the
+    members known before the restart.
     """
-    assert 0 < _minority_use_after_restart_of_all(seed, cut_for=0.5) <= MAX_USE_AFTER_RESTART
+    assert 0 < _minority_use_after_restart_of_all(seed, partitioned_for=0.5) <= MAX_USE_AFTER_RESTART
 
 
 def test_a_successor_process_relies_on_the_imported_state() -> None:
     ring = Ring(max_units=1.0)
     ring.advance(ring.now + 3.0)
-    told = handover.export_state(ring.gateways[0])
+    state = handover.export_state(ring.gateways[0])
     for took_over in (True, False):
-        ring.restart(0)  # its membership has not spoken yet
+        ring.restart(0)  # no membership event yet
         if took_over:
-            handover.import_state(ring.gateways[0], told)
+            handover.import_state(ring.gateways[0], state)
         ring.gateways[1].handle(ring.now, i.TimerFired(0))
         ring.deliver(1, ring.gateways[1].handle(ring.now, i.TimerFired(0)))
         ran = sum(ring.submit(0, f"{took_over}{n}", tenant="one", ring_size=SIZE) for n in range(8))
@@ -214,7 +211,7 @@
 def test_the_majority_serves_again_once_membership_and_totals_are_known(
     seed: int,
 ) -> None:
-    """Both times run from the first member that is heard, not one after the other."""
+    """Both periods run from the first member that is seen, not one after the other."""
     ring = Ring(seed=seed, max_units=1.0)
     ring.run(8.0, HEAVY_LOAD)
     ring.partition(3, 4)
@@ -226,19 +223,18 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_the_store_keeps_partitioned_members_after_they_are_declared_dead(seed: int) -> None:
-    """The smaller side came back from a loss of all as a whole fleet of its own, until the cut was healed.
+    """Guards against a minority that restarts as a complete cluster of its own and uses the whole quota.
 
-    What happens: the members behind the cut are held for dead, then all end and come back. Both sides serve
-    with the whole quota. Why: only members that were alive were kept for the next start, so that nobody was
-    missing after it. What showed it: this test, by a use of 30 units in 10 s where 5 are the most.
+    Only alive members were stored for the next start. After a restart of all the minority therefore did not
+    know of the members that it had declared dead: 30 units were used in 10 s, where 5 are allowed.
     """
-    assert 0 < _minority_use_after_restart_of_all(seed, cut_for=9.0) <= MAX_USE_AFTER_RESTART
+    assert 0 < _minority_use_after_restart_of_all(seed, partitioned_for=9.0) <= MAX_USE_AFTER_RESTART
 
 
 class OwnEpochs(Ring):
-    """Each member has epochs at moments of its own: a round of the ring takes several."""
+    """Each member has its own epochs, so that a round of the ring takes several."""
 
-    plan = i.Plan("basic", 4.0, 12.0, 0, 1.0, 0.0, 0.5, 0.0, 0.0, 0.0)  # as of lab/fleet
+    plan = i.Plan("basic", 4.0, 12.0, 0, 1.0, 0.0, 0.5, 0.0, 0.0, 0.0)  # as in lab/fleet
 
     def __init__(self, seed: int, size: int = 6) -> None:
         super().__init__(seed=seed, size=size, max_units=1.0, plans=(self.plan,))
@@ -253,21 +249,22 @@
             if self.next_epochs[number] > until:
                 break
             self.now = max(self.now, self.next_epochs[number])
-            pause = self.gateways[number].epoch * self.random.uniform(
+            # Timers are late, never early.
+            interval = self.gateways[number].epoch * self.random.uniform(
                 1.0, 1.15
             )  # timers are late, and never early
-            self.next_epochs[number] = self.now + pause
+            self.next_epochs[number] = self.now + interval
             self.deliver(number, self.gateways[number].handle(self.now, i.TimerFired(0)))
             self.advance_members()
         self.now = max(self.now, until)
 
-    def run(self, seconds: float, asked: dict[str, float], weights: tuple[float, ...] = ()) -> None:
+    def run(self, seconds: float, load: dict[str, float], weights: tuple[float, ...] = ()) -> None:
         end = self.now + seconds
-        super().run(seconds, asked, weights or (1.0,) * self.size)
+        super().run(seconds, load, weights or (1.0,) * self.size)
         self.advance(end)
 
-    def restart_all(self, away: float, store: bool = True) -> None:
-        super().restart_all(away, store)
+    def restart_all(self, downtime: float, store: bool = True) -> None:
+        super().restart_all(downtime, store)
         self.next_epochs.clear()
 
     def verdict(self) -> Verdict:
@@ -276,8 +273,8 @@
 
 @pytest.mark.parametrize("number", range(40))
 def test_a_restart_of_all_in_a_partition_where_a_round_of_the_ring_takes_several_epochs(number: int) -> None:
-    # The power case of tests/test_power.py in simulated time: after it several members spent one quota.
-    # times RATE: 16 and 1.2 requests a second, under a plan of 4
+    # The restart scenario of tests/test_power.py in simulated time, where several members used one quota.
+    # Load is in multiples of RATE: 16 and 1.2 requests per second, with a plan of 4.
     heavy = {f"heavy{n}": 8.0 for n in range(2)} | {f"calm{n}": 0.6 for n in range(4)}
     ring = OwnEpochs(number)
     ring.advance(ring.now + 3.0)
@@ -295,7 +292,7 @@
 def test_the_rest_of_a_nearly_used_quota_is_not_used_by_both_sides_of_an_undetected_partition(
     seed: int,
 ) -> None:
-    # The smaller side went on with all that was left for the four epochs until a member counts as not heard.
+    # Guards against the minority using the rest of a quota in the four epochs until silence is detected.
     ring = OwnEpochs(seed)
     ring.advance(ring.now + 3.0)
     ring.run(3.0, {"heavy0": 8.0})
@@ -303,18 +300,18 @@
     ring.advance(ring.now + 0.25)
     served = {"heavy0": 0, "new": 0}
     for n in range(4):
-        for customer in served:
+        for tenant in served:
             for number in (4, 5):
-                name = f"{customer}-{n}-{number}"
-                served[customer] += ring.submit(number, name, tenant=customer, ring_size=ring.size)
+                name = f"{tenant}-{n}-{number}"
+                served[tenant] += ring.submit(number, name, tenant=tenant, ring_size=ring.size)
         ring.advance(ring.now + 0.03)
     assert served["heavy0"] == 0
-    assert served["new"] >= 2  # of an unused quota each may take what fits beside as much from all
+    assert served["new"] >= 2  # of an unused quota, each may take what fits if all members take as much
 
 
 @pytest.mark.parametrize("number", range(20))
 def test_restarts_of_all_use_a_quota_twice_only_without_the_store(number: int) -> None:
-    # The control of test_losses_of_all_spend_no_quota_twice in tests/test_power.py, apart from the machine.
+    # Control of the restart test in tests/test_power.py, independent of the machine.
     use = {}
     for store in (True, False):
         ring = OwnEpochs(number)
@@ -347,18 +344,18 @@
     ring.requests.clear()
     ring.run(30.0, {f"late{n}": 3.0 for n in range(4)}, (0, 0, 0, 1, 1))
     part = MINORITY_SHARE * 2 / 5
-    most = part * (BURST + 10.0 * RATE) + 2  # and a request each, as one must fit
+    most = part * (BURST + 10.0 * RATE) + 2  # one request each, as one always fits
     assert 0 < ring.verdict().use * (BURST + 10.0 * RATE) <= most
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_the_minority_keeps_the_level_that_a_tenant_had_before_the_partition(seed: int) -> None:
-    # Its first request was let in as soon as the old level had drained, at the whole quota's rate.
+    # Guards against a first request as soon as the old level has drained at the whole quota's rate.
     ring = Ring(max_units=1.0)
     ring.random.seed(seed)
     ring.run(8.0, HEAVY_LOAD)
     ring.partition(3, 4)
-    ring.advance(ring.now + 6 * ring.gateways[0].epoch)  # the other side is not heard any more
+    ring.advance(ring.now + 6 * ring.gateways[0].epoch)  # the other side is unreachable by now
     noticed, served_at = ring.now, []
     for n in range(150):
         ring.advance(ring.now + 0.1)
@@ -371,7 +368,7 @@
 
 
 def test_a_short_partition_does_not_raise_the_level_of_a_window() -> None:
-    # The level was raised with the smaller part, and not lowered again with the larger one.
+    # Guards against a level that is raised with the smaller share and not lowered with the larger one.
     ring = Ring(max_units=1.0)
     ring.advance(ring.now + 3.0)
     assert sum(ring.submit(3, f"a{n}", tenant="one", ring_size=SIZE) for n in range(6)) == 6
@@ -390,21 +387,16 @@
 def test_the_minority_stays_within_its_share_while_deaths_are_detected_one_by_one(
     seed: int, size: int, cut_off: tuple[int, ...]
 ) -> None:
-    """Two of five were cut off; some 2 s later they served with the whole quota again, for about 2 s.
-
-    What happens: the smaller side stops within four epochs. With the first member of the other side that it
-    holds for dead it begins to serve again, and with the last one it stops. Why: as soon as one member was
-    missing, those that were merely not heard counted as present, so that four of five were a majority. What
-    showed it: in the log of member 4 `place 0: suspected -> gone` at 6.16, admissions with the whole quota
-    (part 1, a majority of four, two of them quiet) from 6.83 to 8.36, `may not take over` at 8.69.
-
-    In larger fleets the last death is learnt more than 6 s after the cut (up to 12 s in one of twenty), and
-    from 6 s on whoever was silent and not held for dead yet counted as present as well.
+    """Guards against a minority that uses the whole quota for 2 s while deaths are still being detected.
+    It stops within four epochs, when the other side is silent. Once the first of these members was declared
+    dead, the ones that were merely silent counted as alive again, so that four of five were a majority until
+    the last death was detected. In larger clusters that is more than 6 s after the partition (up to 12 s with
+    20 members), and from 6 s on silent members counted as alive as well.
     """
     ring = Ring(seed=seed, size=size)
     ring.advance(ring.now + 4.0)
     ring.partition(*cut_off)
-    ring.advance(ring.now + 6 * ring.gateways[0].epoch)  # those of the other side are not heard any more
+    ring.advance(ring.now + 6 * ring.gateways[0].epoch)  # the other side is unreachable by now
     missing: set[int] = set()
     while ring.now < 1e6 + 20.0:
         ring.advance(ring.now + 0.1)
@@ -412,11 +404,11 @@
             ran = ring.submit(number, f"r{len(ring.requests)}", tenant="one", ring_size=size)
             ring.requests.append(Try(ring.now, "one", 1.0, ran))
             missing.add(len(ring.notified[number].unreachable))
-    assert missing & set(range(1, size - len(cut_off)))  # not all deaths were known at one moment
+    assert missing & set(range(1, size - len(cut_off)))  # deaths were detected one by one
     assert size - len(cut_off) in missing
     allowance = BURST + 10.0 * RATE
     most = MINORITY_SHARE * len(cut_off) / size * allowance
-    most += len(cut_off)  # a request each, as one must fit
+    most += len(cut_off)  # one request each, as one always fits
     assert 0 < ring.verdict().use * allowance <= most
 
 
@@ -431,7 +423,7 @@
 
 
 def test_a_member_that_reaches_both_ends_forwards_reports_over_a_broken_link() -> None:
-    """A-B and B-C pass, A-C does not: A never learnt of C's use, as B tells its own successor alone."""
+    """A-B and B-C are linked, A-C is not: B reported only to its successor, so A never learned C's use."""
     ring = Ring()
     ring.run(3.0, {})
     ring.blocked = lambda sender, to: {sender, to} in ({0, 4}, {0, 3})
@@ -456,11 +448,11 @@
     ring.members.start(1)
     ring.restart(1)
     ring.notified.pop(1, None)
-    got = 0
-    for n in range(20):  # it asks for more than it may have, at each moment
-        got += sum(ring.submit(1, f"g{n}-{k}", tenant="one", ring_size=SIZE) for k in range(4))
+    admitted = 0
+    for n in range(20):  # more than it may use, at any moment
+        admitted += sum(ring.submit(1, f"g{n}-{k}", tenant="one", ring_size=SIZE) for k in range(4))
         ring.advance(ring.now + 0.1)
-    assert got <= 5  # the allowance of one large request; the window is full, and drains by four
+    assert admitted <= 5  # one large request's allowance; the window is full, and drains by 4
 
 
 def membership_without(*missing: int, size: int = 10) -> i.MembershipChanged:
@@ -470,21 +462,23 @@
 
 def test_cold_backends_are_divided_among_the_alive_members() -> None:
     names = [f"b{n}" for n in range(20)]
-    live: dict[int, Gateway] = {n: started(" ".join(names), number=n, gateways=10) for n in range(10)}
+    instances: dict[int, Gateway] = {n: started(" ".join(names), number=n, gateways=10) for n in range(10)}
 
-    def doors(numbers: list[int]) -> int:
+    def count_sharers(numbers: list[int]) -> int:
         cold = backend("b7", started=50.0)
         count = 0
         for number in numbers:
-            live[number].handle(50.0, listed(cold, kind=i.ListKind.CHANGES))
-            count += "b7" in {b.entry.backend for b in live[number]._subset()}
+            instances[number].handle(50.0, listed(cold, kind=i.ListKind.CHANGES))
+            count += "b7" in {b.entry.backend for b in instances[number]._subset()}
         return count
 
-    assert doors(list(range(10))) == live[0]._slow_start_sharers(live[0].backends["b7"]) == 6
+    assert (
+        count_sharers(list(range(10))) == instances[0]._slow_start_sharers(instances[0].backends["b7"]) == 6
+    )
     for number in (1, 5, 8):
-        live[number].handle(50.0, membership_without(0, 2, 3, 4, 6, 7, 9))
-        assert live[number].subset_size == 20  # three share them all
-    assert doors([1, 5, 8]) == live[1]._slow_start_sharers(live[1].backends["b7"]) == 3
-    for number in range(10):  # half of them: as many doors, and all of them there
-        live[number].handle(50.0, membership_without(0, 3))
-    assert doors([n for n in range(10) if n not in (0, 3)]) == 6
+        instances[number].handle(50.0, membership_without(0, 2, 3, 4, 6, 7, 9))
+        assert instances[number].subset_size == 20  # three share them all
+    assert count_sharers([1, 5, 8]) == instances[1]._slow_start_sharers(instances[1].backends["b7"]) == 3
+    for number in range(10):  # with eight alive members there are as many sharers as before
+        instances[number].handle(50.0, membership_without(0, 3))
+    assert count_sharers([n for n in range(10) if n not in (0, 3)]) == 6
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""What yields first while the backends are overloaded."""
+"""Priorities of requests while the backends are overloaded."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def sent_until_refused(gateway: Gateway, class_name: str) -> int:
-    """How many requests of a class are out when the first is refused, each of its own customer."""
+    """Number of requests of a class in flight when the first is refused, each by its own tenant."""
     count = 0
     while sends(gateway.handle(1.0, request(f"r{count}", class_name=class_name, tenant=f"c{count}"))):
         count += 1
@@ -24,7 +24,7 @@
 
 
 def after_refusals(refused: bool) -> Gateway:
-    """A gateway whose best class was refused again and again, or never."""
+    """A gateway whose best class was refused repeatedly, or never."""
     gateway = started(gateways=1, classes=(CHEAP, DEAR))
     for _ in range(50):
         gateway.priority.observe(1.0, refused)
@@ -32,7 +32,7 @@
 
 
 def test_low_earning_requests_yield_when_the_best_class_is_refused() -> None:
-    """It took 0.78 of the room all the same, and work of four times its worth was refused."""
+    """Guards against low-earning requests using 0.78 of the capacity while the best class is refused."""
     best = sent_until_refused(after_refusals(True), "dear")
     assert 0.3 * best <= sent_until_refused(after_refusals(True), "cheap") <= 0.5 * best
 
@@ -46,11 +46,11 @@
     gateway = started(gateways=1, classes=(CHEAP, DEAR), plans=(PAYING,))
     for _ in range(50):
         gateway.priority.observe(1.0, True)
-    for n in range(int(PAYING.burst)):  # one customer uses all of its quota
+    for n in range(int(PAYING.burst)):  # one tenant uses its whole quota
         first = sends(gateway.handle(0.9, request(f"q{n}", class_name="cheap", tenant="greedy")))
         gateway.handle(0.9, ended(first[0], i.Outcome.OK))
     assert sent_until_refused(gateway, "cheap") > 0
-    for n in range(20):  # nothing more of it is sent while cheap work inside quotas is refused
+    for n in range(20):  # none is sent while low-earning requests within quota are refused
         assert not sends(gateway.handle(1.0, request(f"b{n}", class_name="cheap", tenant="greedy")))
 
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Random legal events: one final answer in time, no effect twice, nothing to a draining backend."""
+"""Random valid events: one final response in time, no repeated effect, nothing to draining backends."""
 
 import heapq
 import random
@@ -13,7 +13,7 @@
 
 
 class Simulation:
-    """One gateway among others that lose, repeat and garble what they tell it."""
+    """One gateway whose peers send lost, repeated and corrupted messages."""
 
     def __init__(self, gateways: int, seed: int) -> None:
         self.random, self.gateways, self.now = random.Random(seed), gateways, 0.0
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -1,4 +1,4 @@
-"""The ring: totals, their loss and their return."""
+"""Totals on the ring: exchange, loss and recovery."""
 
 import hashlib
 import random
@@ -27,7 +27,7 @@
 
 
 def coordinators_of(ring: LongRing) -> list[int]:
-    """The two that keep the total of the common customer."""
+    """The primary and secondary coordinator of the common tenant."""
     quota = ring.gateways[255].quota_of(key_of("basic c1"), BASIC, 250, 100)
     return ring.gateways[255].members(quota, int.from_bytes(quota.key, "big") % 100)[:2]
 
@@ -64,7 +64,7 @@
     network = PeerNetwork()
     del network.gateways[1]
     network.run_epochs(10)
-    assert admitted(network, 0, 20) <= 4  # the largest request's units
+    assert admitted(network, 0, 20) <= 4  # units of the largest request
 
 
 def test_a_restarted_gateway_receives_its_earlier_use() -> None:
@@ -98,12 +98,12 @@
 
 
 def test_a_quota_holds_over_a_hundred_members_with_one_request_each() -> None:
-    """A lap by all members took half a minute, and refused or let in nearly everything."""
+    """Guards against passing totals through all members: a round took half a minute, with wrong decisions."""
     ring = LongRing()
     members = [(250 + place) % 300 for place in range(0, 100, 2)]
     taken = sum(ring.submit(number, f"r{number}") for number in members)
-    assert 26 <= taken <= 30  # ten at first and two a second for ten seconds
-    assert ring.bytes_sent <= 100 * 50  # a keeper each way, twice
+    assert 26 <= taken <= 30  # burst 10, then 2 per second for 10 s
+    assert ring.bytes_sent <= 100 * 50  # two coordinators, each way
 
 
 def test_a_tenant_with_low_use_is_admitted_at_every_member() -> None:
@@ -128,7 +128,7 @@
     sum(ring.submit(number, f"a{number}") for number in members[:25])
     ring.restart(coordinators[0])
     taken = sum(ring.submit(number, f"b{number}") for number in members[25:45])
-    assert taken <= 10  # two a second for four seconds, and one or two left
+    assert taken <= 10  # 2 per second for 4 s, and one or two left
 
 
 def test_messages_of_any_content_do_no_harm_in_a_long_ring() -> None:
@@ -154,7 +154,7 @@
 
 
 def test_a_high_running_count_is_accepted_as_the_first_report() -> None:
-    """From half the counts' range on, a restarted gateway took the others for restarted ones."""
+    """With a count above half of its range, a restarted gateway took the other members for restarted ones."""
     network = PeerNetwork()
     network.run_epochs(4)
     admitted(network, 0, 3, "a")
@@ -167,7 +167,7 @@
 
 
 def test_without_peer_messages_nothing_is_sent_and_idle_quotas_are_evicted() -> None:
-    """A large fleet asked its coordinators although the settings forbid messages."""
+    """Guards against coordinator messages in a large cluster whose settings do not allow messages."""
     gateway = started(gateways=300, may_message_peers=False)
     actions = gateway.handle(1.0, request("r", ring_size=100, ring_first=0))
     assert len(sends(actions)) == 1  # within the allowance
@@ -178,7 +178,7 @@
 
 
 def test_a_refusal_below_the_burst_still_advises_a_delay() -> None:
-    """Nothing is short then but the totals: they may be there an epoch later."""
+    """Only the totals are missing at first; they may arrive within an epoch."""
     network = PeerNetwork()
     gateway = network.gateways[0]
     refusals = []
@@ -191,7 +191,7 @@
 
 
 def test_tenants_with_a_single_request_are_evicted_while_reports_are_pending() -> None:
-    """Each epoch renewed what was still untold: on a day of ever new customers the table only grew."""
+    """Guards against unbounded state: each epoch marked quotas with pending reports as used."""
     gateway = started(gateways=2)
     for n in range(12_000):
         now = 1.0 + 0.005 * n
@@ -203,7 +203,7 @@
 
 
 def test_the_most_utilized_quotas_are_reported_first() -> None:
-    """Behind fifty customers of little use it was told seconds late that one had used all of its quota."""
+    """Behind 50 tenants with low use, the exhaustion of one tenant's quota was reported seconds late."""
     network = PeerNetwork()
     network.run_epochs(4)
     assert all(network.submit(0, f"l{n}", tenant=f"little{n}") for n in range(40))
@@ -219,7 +219,7 @@
 
 
 def test_in_a_ring_of_three_a_restarted_member_receives_its_own_use_too() -> None:
-    """Only its successor saw it, and told the third, which knew already: the use went uncounted."""
+    """Only the successor noticed and reported to the third member, which knew already."""
     network = PeerNetwork(3)
     network.run_epochs(4)
     for n in range(6):
@@ -256,7 +256,7 @@
 
 def test_first_reports_after_a_restart_stay_within_the_window() -> None:
     network = PeerNetwork(3)
-    for _ in range(60):  # all places have used far more than a burst in their lives
+    for _ in range(60):  # all members have used far more than a burst since their start
         network.run_epochs(1)
         for n in range(3):
             network.submit(n, f"{network.now} {n}", ring_size=3)
@@ -271,21 +271,21 @@
 
 
 def admitted_alone(number: int, many: int, plan: str, **changes: Any) -> int:
-    """How many of a customer's requests, all at once, one of three gateways lets in that tell no peers."""
+    """Number of concurrent requests of a tenant admitted by one of three gateways without peer messages."""
     gateway = started(now=0.0, gateways=3, number=number, may_message_peers=False, max_units=1.0, **changes)
     ask = [request(f"r{n}", plan=plan, ring_size=3, ring_first=1) for n in range(many)]
     return sum(len(sends(gateway.handle(0.0, one))) for one in ask)
 
 
 def test_without_peer_messages_each_gateway_uses_exactly_its_even_share() -> None:
-    """A tenth of it refused half of what was inside; whole limits at each let in what was beyond."""
+    """A tenth of the share refused half of the requests within quota; full limits everywhere overran it."""
     even = replace(BASIC, burst=12.0)
     assert [admitted_alone(n, 20, "basic", plans=(even,)) for n in range(3)] == [4, 4, 4]
-    # three attempts out at once are one at each; of four the first of the customer's set has two
+    # 3 concurrent attempts are one per gateway; of 4 the ring's first member has two
     assert [admitted_alone(n, 9, "open", plans=(OPEN,)) for n in range(3)] == [1, 1, 1]
     four = replace(OPEN, max_open=4)
     assert [admitted_alone(n, 9, "open", plans=(four,)) for n in range(3)] == [1, 2, 1]
-    one = replace(OPEN, max_open=1)  # fewer than there are gateways: none of them may be shut out for good
+    one = replace(OPEN, max_open=1)  # fewer than gateways: none of them may be blocked for good
     assert [admitted_alone(n, 9, "open", plans=(one,)) for n in range(3)] == [1, 1, 1]
 
 
@@ -301,7 +301,7 @@
 
 
 def test_a_silent_member_counts_as_dead_while_another_gateway_is_reachable() -> None:
-    """A zone lost with its ingresses: the survivors granted a tenth of an even share beside idle servers."""
+    """After the loss of a zone with its gateways, the others granted a tenth of an even share."""
     fleet = PeerNetwork(3)
     fleet.run_epochs(4)
     del fleet.gateways[1]
@@ -321,17 +321,17 @@
 
 
 def test_a_starting_gateway_does_not_take_silent_members_for_dead() -> None:
-    """It hears one gateway before another, whose ring may have used the window already."""
+    """It may see one gateway before another whose ring has used the window already."""
     fleet = PeerNetwork(3)
     del fleet.gateways[1]
     fleet.run_epochs(4)
     fleet.restart(0)
     fleet.run_epochs(2)
-    assert admitted(fleet, 0, 20) <= 4  # the largest request's units
+    assert admitted(fleet, 0, 20) <= 4  # units of the largest request
 
 
 def test_the_last_gateway_of_a_ring_uses_an_even_share() -> None:
-    """The other of two died: what its clients then ask of this one, far under the quota, was refused."""
+    """After the death of the other of two gateways, requests far below the quota were refused."""
     network = PeerNetwork(max_units=1.0)
     network.run_epochs(4)
     del network.gateways[1]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules, each kept by one gateway alone."""
+"""The five rules, each kept by a single gateway."""
 
 import pytest
 
@@ -71,7 +71,7 @@
         for send in sends(gateway.handle(now, request(f"r{n}", tenant=f"c{n}"))):
             taken += 1
             gateway.handle(now + 0.01, ended(send, i.Outcome.OK, latency=0.125))
-    # a third of 2.5 x the capacity of one core over three seconds, at an eighth of a second of work each
+    # a third of 2.5 x the capacity of one core over 3 s, with 1/8 s of work per request
     assert 1 <= taken <= 2.5 * 0.5 * 3 / 3 / 0.125
 
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -1,4 +1,4 @@
-"""Choice of a backend, health and overload, each from a failure that was seen."""
+"""Choice of backends, outlier detection and overload; each test guards against an observed failure."""
 
 from dataclasses import replace
 
@@ -7,7 +7,7 @@
 
 
 def test_a_backend_that_answers_nothing_gets_only_trials() -> None:
-    """Hang: old attempts are out and none was answered since."""
+    """A hung backend holds old attempts and answers none sent since."""
     gateway = started("b1 b2")
     hung, now = "b1", 1.0
     got: list[float] = []
@@ -20,21 +20,21 @@
                 gateway.handle(now, ended(send, i.Outcome.OK, latency=0.05))
     late = [when for when in got if when > 4.0]
     assert got
-    assert len(late) <= 8  # at most one trial a second for seven seconds
+    assert len(late) <= 8  # at most one trial per second for 7 s
 
 
 def test_the_limit_of_a_backend_is_shared_by_all_gateways() -> None:
-    """Jam with twelve gateways: each filled every backend as if it were alone."""
+    """With 12 gateways each one filled every backend as if it were alone."""
     out = {}
     for gateways in (3, 12):
         gateway = started("b1 b2 b3 b4", gateways=gateways)
-        asked = [gateway.handle(1.0, request(f"r{n}", tenant=f"c{n}")) for n in range(100)]
-        out[gateways] = sum(len(sends(actions)) for actions in asked)
-    assert out[12] * 12 <= out[3] * 3 * 2.5  # the room is kept on average, a first burst may pass it
+        results = [gateway.handle(1.0, request(f"r{n}", tenant=f"c{n}")) for n in range(100)]
+        out[gateways] = sum(len(sends(actions)) for actions in results)
+    assert out[12] * 12 <= out[3] * 3 * 2.5  # capacity holds on average, a first burst may exceed it
 
 
 def test_full_responses_are_not_retried_under_overload() -> None:
-    """Flood of retries: a fuller fleet must not be tried harder."""
+    """Guards against a retry storm at overloaded backends."""
     gateway = started("b1 b2")
     first = [gateway.handle(1.0, request(f"r{n}", tenant=f"c{n}")) for n in range(40)]
     attempts = sum(len(sends(actions)) for actions in first)
@@ -49,20 +49,20 @@
 
 
 def test_late_retries_yield_under_overload() -> None:
-    """Late retries were served after their aim and displaced fresh requests."""
+    """Late retries were served after their aim and displaced first attempts."""
     gateway = started("b1 b2 b3 b4")
     fresh, late = 0, 0
     gateway.handle(0.5, request("first", time_left=3.0))
     for n in range(40):
-        fresh_try = request(f"f{n}", tenant=f"f{n}", time_left=3.0)
-        late_try = request(f"l{n}", tenant=f"l{n}", time_left=1.2)
-        late += len(sends(gateway.handle(1.0, late_try)))
-        fresh += len(sends(gateway.handle(1.0, fresh_try)))
+        fresh_request = request(f"f{n}", tenant=f"f{n}", time_left=3.0)
+        late_request = request(f"l{n}", tenant=f"l{n}", time_left=1.2)
+        late += len(sends(gateway.handle(1.0, late_request)))
+        fresh += len(sends(gateway.handle(1.0, fresh_request)))
     assert fresh > late
 
 
 def test_a_few_clients_with_longer_timeouts_do_not_make_the_others_late() -> None:
-    """Half was refused on idle servers: the longest time left was taken for that of every first try."""
+    """The longest timeout was taken for that of all first attempts, and half of the requests was refused."""
     gateway = started("b1 b2 b3 b4")
     taken = 0
     for n in range(300):
@@ -71,11 +71,11 @@
             gateway.handle(1.05 + n, ended(send, i.Outcome.OK, latency=0.05))
     for n in range(40):
         taken += len(sends(gateway.handle(400.0, request(f"r{n}", tenant=f"r{n}", time_left=1.9))))
-    assert taken >= 7  # most of the room, not the part left to what must come late
+    assert taken >= 7  # most of the capacity, not only the late requests' share
 
 
 def test_a_cold_backend_of_a_large_fleet_gets_whole_requests_from_few_gateways() -> None:
-    """Three hundred gateways with a whole request each pushed it over at once."""
+    """300 gateways with one whole request each overloaded it at once."""
     sent = 0
     for number in range(300):
         gateway = started("b1", gateways=300, number=number)
@@ -83,12 +83,12 @@
         for n in range(8):
             asked = request(f"r{n}", tenant=f"c{n}")
             sent += len(sends(gateway.handle(1.0 + 0.5 * n, asked)))
-    # at most the stated multiple of one core's work over four seconds, at an eighth of a second each
+    # at most the stated multiple of one core's work over 4 s, with 1/8 s per request
     assert 1 <= sent <= 2.5 * 0.45 * 4 / 0.125
 
 
 def test_one_attempt_does_not_overload_a_gateway_with_little_traffic() -> None:
-    """A share of the room below one attempt refused most tries on idle backends."""
+    """With a capacity below one attempt per gateway, most requests were refused on idle backends."""
     gateway = started(" ".join(f"b{n}" for n in range(60)), gateways=300)
     asked = [gateway.handle(1.0, request(f"r{n}", tenant=f"c{n}")) for n in range(3)]
     assert all(sends(actions) for actions in asked)
@@ -104,32 +104,30 @@
 
 
 def test_cold_backends_are_used_while_the_warm_ones_are_full() -> None:
-    """Six in ten new at once: requests were refused for room while the new ones stood idle."""
-    answered = 0
+    """With 60% new backends, requests were refused for lack of capacity while the new ones were idle."""
+    sent = 0
     for number in range(40):
         gateway = started("", gateways=40, number=number)
         old, new = [backend(f"b{n}") for n in range(24)], [backend(f"c{n}", started=1.0) for n in range(36)]
         gateway.handle(1.0, listed(*old, *new, kind=i.ListKind.FULL))
-        gateway.limit, gateway.avg_in_flight = 0.0, 100.0  # nothing more fits on the warm ones
+        gateway.limit, gateway.avg_in_flight = 0.0, 100.0  # the warm backends are full
         for n in range(30):
             for send in sends(gateway.handle(2.0 + n / 10, request(f"r{n}", tenant=f"c{n}"))):
                 assert send.backend.startswith("c")
-                answered += 1
+                sent += 1
                 gateway.handle(2.0 + n / 10, ended(send, i.Outcome.OK, latency=0.1))
     gateway.plans["paid"] = PAID
     gateway.quotas.clear()
     gateway.handle(9.0, request("first", plan="paid"))
     next(iter(gateway.quotas.values())).own = 100.0
-    assert not sends(
-        gateway.handle(9.0, request("spare", plan="paid"))
-    )  # what is beyond a quota yields here too
-    # work of an eighth of a second each, against the budget of one core at what is surely warm by then
-    work = answered / 8
+    assert not sends(gateway.handle(9.0, request("spare", plan="paid")))  # requests over quota yield here too
+    # With 1/8 s of work per request, against one core's budget at the capacity that is warm by then.
+    work = sent / 8
     assert 0.3 * 36 * 0.7 * 2.5 * 0.35 * 3 < work < 36 * 0.7 * 2.5 * 0.53 * 4
 
 
 def test_trials_are_first_attempts_and_back_off_on_connection_failures() -> None:
-    """With the list late most were dead: requests used up their attempts on trials and were refused."""
+    """With a late list most backends were dead, and requests used up their attempts on trials."""
     gateway = started("b1 b2 b3 b4 b5 b6", max_attempts=5)
     dead, tried, now = {"b1", "b2", "b3", "b4"}, [], 1.0
     for n in range(400):
@@ -144,11 +142,11 @@
         assert not actions_of(actions, i.Refuse)
     late = [attempt for at, attempt in tried if at > 2.0]
     assert set(late) == {0}
-    assert len([at for at, _ in tried if at > 15.0]) <= 8  # one a second each would be twenty-four
+    assert len([at for at, _ in tried if at > 15.0]) <= 8  # one per second each would be 24
 
 
 def test_trials_continue_while_all_backends_are_ejected() -> None:
-    """Two seconds in which no connection came up, and an ingress refused everything for good."""
+    """After 2 s without connections, all backends were ejected and never tried again."""
     gateway, now, late = started("b1 b2 b3 b4 b5 b6", gateways=40), 1.0, 0
     for n in range(600):
         now += 0.05
@@ -162,7 +160,7 @@
 
 
 def test_a_backend_that_answers_full_is_ejected_and_the_limit_stays() -> None:
-    """Those that drained turned requests away at once: the limit fell from 8 to 1.7 on idle ones."""
+    """Draining backends answered full at once, which reduced the limit from 8 to 1.7 on idle backends."""
     gateway = started("b1 b2 b3")
     gateway.avg_in_flight = 100.0
     for n in range(20):
@@ -176,17 +174,17 @@
 
 
 def test_lost_responses_do_not_use_up_the_capacity() -> None:
-    """Lost answers: work long done was counted as out until its client gave up."""
+    """Attempts with lost responses counted as in flight until their client's timeout."""
     gateway = started("b1 b2 b3")
     lost = [gateway.handle(1.0, request(f"l{n}", tenant=f"l{n}")) for n in range(60)]
     assert any(actions_of(actions, i.Refuse) for actions in lost)
     for send in [send for actions in lost for send in sends(actions)][::4]:
-        gateway.handle(1.1, ended(send, i.Outcome.OK))  # so that no backend is suspected
+        gateway.handle(1.1, ended(send, i.Outcome.OK))  # so that no backend is ejected
     assert sends(gateway.handle(2.0, request("r", tenant="later")))
 
 
 def test_slow_requests_on_idle_backends_do_not_reduce_the_limit() -> None:
-    """A calm half minute took the limit from 8 to 3, and the next burst was refused on idle backends."""
+    """Half a minute of slow requests cut the limit from 8 to 3, and the next burst was refused."""
     gateway = started("b1 b2 b3 b4")
     before = gateway.limit
     for n in range(300):
@@ -206,7 +204,7 @@
 
 
 def test_a_plan_that_pays_for_excess_gets_spare_capacity() -> None:
-    """What earns 0.3 of its worth was refused on idle backends; what earns nothing still is."""
+    """Requests that earn 0.3 of their worth were refused on idle backends; others still are."""
     gateway = started("b1 b2 b3 b4", plans=(BASIC, PAID))
     taken = {"basic": 0, "paid": 0}
     for n in range(60):
@@ -215,7 +213,7 @@
                 taken[plan] += 1
                 gateway.handle(1.0, ended(send, i.Outcome.OK))
     assert taken == {"basic": 10, "paid": 60}
-    assert max(quota.own for quota in gateway.quotas.values()) <= 10  # it takes nothing from the quota
+    assert max(quota.own for quota in gateway.quotas.values()) <= 10  # the quota is not charged
 
 
 def test_requests_over_quota_yield_first() -> None:
@@ -226,11 +224,11 @@
     beyond = [gateway.handle(1.5, request(f"s{n}", plan="paid")) for n in range(40)]
     assert 0 < sum(len(sends(actions)) for actions in beyond) < 40
     inside = gateway.handle(1.5, request("r", tenant="other"))
-    assert sends(inside)  # a share of the room is left to those within their quotas
+    assert sends(inside)  # capacity is left for requests within quota
 
 
 def test_one_broken_connection_does_not_eject_a_backend() -> None:
-    """On a day of resets now and then a third of the fleet was left out, and the rest was overloaded."""
+    """With occasional resets, a third of the backends was ejected and the others were overloaded."""
     for outcomes, suspected in [
         ([i.Outcome.RESET], False),
         ([i.Outcome.RESET, i.Outcome.OK, i.Outcome.RESET], False),
@@ -247,7 +245,7 @@
 
 
 def test_a_backend_with_lost_responses_is_soon_used_again() -> None:
-    """Avoided ones learn nothing: four of nine stood at six times the usual latency for good."""
+    """Ejected backends yield no measurements: four of nine kept six times the baseline latency for good."""
     gateway = started("b1 b2 b3")
     lost = gateway.backends["b1"]
     for _ in range(8):
@@ -266,7 +264,7 @@
 
 
 def test_the_limit_recovers_within_seconds_while_it_is_in_use_and_answers_are_fast() -> None:
-    """After a short overload requests were refused for half a minute on backends with nothing to do."""
+    """After a short overload, requests were refused for half a minute on idle backends."""
     gateway = started("b1 b2 b3")
     gateway.limit, gateway.avg_in_flight = 2.0, 10.0
     for n in range(300):
@@ -292,7 +290,7 @@
     for n in range(200):
         ask(n, i.Outcome.ERROR)
     assert gateway.ejected_backends() == {"bad"}
-    assert 3 <= len(sent) <= 3 + 4  # three in a row, and then a trial a second
+    assert 3 <= len(sent) <= 3 + 4  # three errors, then one trial per second
     assert "buy" not in sent[3:]
     for n in range(200, 400):
         ask(n, i.Outcome.OK)
@@ -324,7 +322,7 @@
             out += [(now, send) for send in sends(actions)]
         return gateway.warm_load
 
-    assert after(rate=20, out_for=0.1, gateways=1) == 1.0  # 0.7 out at each
-    assert 1.2 < after(rate=20, out_for=0.1, gateways=2) < 1.5  # as much from the other one
+    assert after(rate=20, out_for=0.1, gateways=1) == 1.0  # 0.7 in flight at each
+    assert 1.2 < after(rate=20, out_for=0.1, gateways=2) < 1.5  # as much again from the other gateway
     assert after(rate=40, out_for=0.1, gateways=3) <= 2.0
-    assert after(rate=200, out_for=0.4, gateways=1) < 1.1  # under pressure nothing is learnt
+    assert after(rate=200, out_for=0.4, gateways=1) < 1.1  # nothing is learned under overload
--- a/tests/test_vast.py
+++ b/tests/test_vast.py
@@ -1,4 +1,4 @@
-"""What a fleet of any size does together: properties over 1 to 100 gateways and 0 to 200 backends."""
+"""Properties of clusters of 1 to 100 gateways and 0 to 200 backends."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def gateway_with(gateways: int, names: list[str], number: int) -> Gateway:
-    """A gateway of a fleet with a list of warm backends in three rooms."""
+    """A gateway with a list of warm backends in three zones."""
     gateway = Gateway(settings(number, gateways), number)
     gateway.handle(0.0, i.Started())
     gateway.handle(0.0, listed(*(backend(name, zone="abc"[ord(name[-1]) % 3]) for name in names)))
@@ -28,7 +28,7 @@
 
 
 def subset(gateway: Gateway) -> set[str]:
-    """The backends it works with."""
+    """The backends that a gateway sends to."""
     return {b.entry.backend for b in gateway._subset()}
 
 
@@ -40,8 +40,8 @@
     uses = Counter(
         name for number in range(gateways) for name in subset(gateway_with(gateways, names, number))
     )
-    reach = min(count, max(MIN_SUBSET, math.ceil(MIN_SHARERS / gateways * count)))
-    assert sum(uses.values()) == gateways * reach
+    subset_size = min(count, max(MIN_SUBSET, math.ceil(MIN_SHARERS / gateways * count)))
+    assert sum(uses.values()) == gateways * subset_size
     assert set(uses) == set(names)
     assert max(uses.values(), default=0) - min(uses.values(), default=0) <= 1
 
@@ -53,17 +53,17 @@
 ) -> None:
     names = [f"b{n}" for n in range(count)]
     cold = names[which % count]
-    live = [gateway_with(gateways, names, number) for number in range(gateways)]
-    users = {n for n, gateway in enumerate(live) if cold in subset(gateway)}
-    for gateway in live:
+    instances = [gateway_with(gateways, names, number) for number in range(gateways)]
+    users = {n for n, gateway in enumerate(instances) if cold in subset(gateway)}
+    for gateway in instances:
         entry = backend(cold, zone="abc"[ord(cold[-1]) % 3], started=99.0 - age)
         gateway.handle(99.0 - age, listed(entry, kind=i.ListKind.CHANGES))
         gateway.now = 99.0
-    doors = {n for n, gateway in enumerate(live) if cold in subset(gateway)}
-    most = live[0]._slow_start_sharers(live[0].backends[cold])
-    assert len(doors) <= min(gateways, most)
-    assert len(doors) >= min(gateways, int(most))
-    assert users <= doors if len(users) <= most else doors < users  # nobody is passed over for another
+    sharers = {n for n, gateway in enumerate(instances) if cold in subset(gateway)}
+    max_sharers = instances[0]._slow_start_sharers(instances[0].backends[cold])
+    assert len(sharers) <= min(gateways, max_sharers)
+    assert len(sharers) >= min(gateways, int(max_sharers))
+    assert users <= sharers if len(users) <= max_sharers else sharers < users  # usual gateways come first
 
 
 @pytest.mark.parametrize(("gateways", "backends"), [(3, 10), (10, 20), (20, 30), (40, 60)])
@@ -82,7 +82,7 @@
 
 
 def test_subsets_alternate_zones_and_differ_between_neighbors() -> None:
-    """Neighbours by number serve the same customers; each next hop met by all was met by each alone."""
+    """Neighbors by number serve the same tenants, so their subsets must differ."""
     sets = [subset(gateway_with(40, [f"b{n}-{n % 3}" for n in range(60)], number)) for number in range(40)]
     assert all(set(Counter(name[-1] for name in one).values()) == {2} for one in sets)
     assert sum(not one & sets[number - 1] for number, one in enumerate(sets)) >= 35
@@ -100,14 +100,14 @@
             subset(gateway_with(gateways, without, number)),
         )
         joins, losses = joins + len(more - fewer), losses + len(fewer - more)
-    # what the one itself carried, and one more at an end of each ring, where rooms may take turns anew
+    # What the backend carried itself, and one more at each end of a subset, where the order of zones changes.
     carried = gateways * len(more) / count
     assert losses <= joins <= carried + 1.5 * gateways + 1
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 40, 100])
 def test_joint_sends_to_cold_backends_keep_the_budget(gateways: int) -> None:
-    """Six in ten replaced at once and told to all at once, whatever the number of ingresses."""
+    """60% of the backends are replaced at once, and all gateways notified at once."""
     count = max(6, gateways * 3 // 2)
     fleet = Fleet(gateways, count, rate=0.5 * CORES * count / gateways / 0.19)
     fleet.run(2.0)
@@ -118,19 +118,19 @@
         fleet.tell_list(number)
     fleet.run(14.0)
     cold = [box for name, box in fleet.boxes.items() if name.startswith("new")]
-    assert all(box.got for box in cold)  # none is left out either
+    assert all(box.got for box in cold)  # every one is used
     for box in cold:
         assert box.entry.started is not None
         for start in {at for at, _ in box.got}:
             work = sum(work for at, work in box.got if start <= at < start + 3.0)
             age = start - box.entry.started
             warmth = min(1.0, 0.15 + 0.85 * (age + 1.5) / 17.0)
-            assert work <= 4.0 * CORES * warmth * 3.0 + 1.0  # and some slack for chance, as the rule has
+            assert work <= 4.0 * CORES * warmth * 3.0 + 1.0  # slack for chance, as in the rule
 
 
 @pytest.mark.parametrize("gateways", [2, 10, 40, 100])
 def test_datagrams_keep_their_size_and_at_the_load_of_a_day_the_intake(gateways: int) -> None:
-    """Past 26 requests a second at each of forty, what is asked is more than is taken in: see scale.md."""
+    """Above 26 requests per second at each of 40 gateways, messages exceed the intake: see scale.md."""
     fleet = Fleet(gateways, 20, rate=14.0, fast=2.0)
     fleet.run(8.0)
     assert 0 < fleet.counts["longest"] <= 252
@@ -173,8 +173,8 @@
     for n in range(40):
         event = request(f"r{n}", class_name="view", plan="full", tenant=f"c{n}", ring_size=1)
         served += len(sends(gateway.handle(1.0 + n / 10, event)))
-    assert served >= (40 if gateway.sharers < 100 else 1)  # a share below one attempt still serves
-    assert len(actions_of(gateway.handle(9.0, i.TimerFired(0)), i.SetTimer)) == 1  # the epoch goes on
+    assert served >= (40 if gateway.sharers < 100 else 1)  # a capacity below one attempt still serves
+    assert len(actions_of(gateway.handle(9.0, i.TimerFired(0)), i.SetTimer)) == 1  # epochs continue
 
 
 @how(max_examples=30, deadline=None, derandomize=True)
--- a/tests/test_witness.py
+++ b/tests/test_witness.py
@@ -1,4 +1,4 @@
-"""The second witness, as the module hears it: counts of ring places when the ring is silent or forgot."""
+"""Counter reconciliation: counts of ring members while the ring is silent or after a restart."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ReconciledNetwork(PeerNetwork):
-    """Gateways with no ring between them, only registers that each writes and the others read."""
+    """Gateways without a ring, connected through registers that each writes and the others read."""
 
     def __init__(self, count: int = 2, ring: bool = False, **changes: Any) -> None:
         self.registers: dict[tuple[bytes, int], i.UseReported] = {}
@@ -65,7 +65,7 @@
     network.gateways[0].handle(network.now, i.UseObserved(key, place, held.count, held.level))
     quota = network.gateways[0].quotas[key]
     assert quota.own + quota.others >= held.level * BASIC.burst
-    assert quota.counts[0] == held.count + 4  # in fourths of a unit: this life's use on top
+    assert quota.counts[0] == held.count + 4  # in quarters of a unit: use since the restart is added
 
 
 def test_a_reset_register_and_an_older_count_are_ignored() -> None:
@@ -129,7 +129,7 @@
     gateway.handle(0.0, request("first", ring_size=3))
     quota = next(iter(gateway.quotas.values()))
     now = 10.0
-    gateway.handle(now, i.UseObserved(quota.key, 2, 8, 0.2))  # two units of a burst of ten
+    gateway.handle(now, i.UseObserved(quota.key, 2, 8, 0.2))  # 2 units of a burst of 10
     for sender in speaking:
         gateway.handle(now, i.PeerMessage(sender, with_checksum(b"")))
     served = 0
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""Settings, events and small helpers that the tests share."""
+"""Settings, events and simulated networks shared by the tests."""
 
 from __future__ import annotations
 
@@ -55,12 +55,12 @@
 
 
 def settings(**changes: Any) -> i.Settings:
-    """The common settings with some changed."""
+    """The default settings with some changed."""
     return replace(SETTINGS, **changes)
 
 
 def backend(name: str, **changes: Any) -> i.BackendEntry:
-    """A warm backend of the list."""
+    """A warm backend in a list."""
     entry = i.BackendEntry(name, "a", "std", 0, i.Availability.ACTIVE, 1.0, None)
     return replace(entry, **changes)
 
@@ -71,7 +71,7 @@
 
 
 def started(names: str = "b1 b2 b3", seed: int = 1, now: float = 0.0, **changes: Any) -> Gateway:
-    """A gateway that has just started and has been given a list."""
+    """A started gateway with a backend list."""
     gateway = Gateway(settings(**changes), seed)
     gateway.handle(now, i.Started())
     gateway.handle(now, listed(*(backend(name) for name in names.split())))
@@ -79,7 +79,7 @@
 
 
 def request(name: str, **changes: Any) -> i.RequestArrived:
-    """A client's try."""
+    """An incoming request."""
     event = i.RequestArrived(name, "read", "basic", "c1", 3.0, 1.0, 1, 0)
     return replace(event, **changes)
 
@@ -91,17 +91,17 @@
 
 
 def sends(actions: list[i.Action]) -> list[i.Send]:
-    """The attempts among some actions."""
+    """The attempts among the actions."""
     return [action for action in actions if isinstance(action, i.Send)]
 
 
 def actions_of(actions: list[i.Action], kind: type) -> list[Any]:
-    """The actions of one kind."""
+    """The actions of one type."""
     return [action for action in actions if isinstance(action, kind)]
 
 
 class PeerNetwork:
-    """Gateways that exchange their peer messages, without any clients or servers."""
+    """Gateways that exchange peer messages, without clients and servers."""
 
     def __init__(self, count: int = 2, **changes: Any) -> None:
         self.now = 0.0
@@ -111,7 +111,7 @@
             self.restart(number)
 
     def restart(self, number: int) -> None:
-        """A gateway begins anew, empty."""
+        """Replaces a gateway by an empty one."""
         gateway = Gateway(settings(number=number, **self.changes), 100 + number + int(self.now * 1000))
         self.gateways[number] = gateway
         start = gateway.handle(self.now, i.Started())
@@ -119,21 +119,21 @@
         self.deliver(number, start)
 
     def deliver(self, sender: int, actions: list[i.Action]) -> None:
-        """Hands the messages among some actions to whom they are for."""
+        """Delivers the peer messages among the actions."""
         for action in actions_of(actions, i.SendPeerMessage):
             for number in sorted(self.gateways):
                 if number != sender and action.peer in (None, number):
                     self.gateways[number].handle(self.now, i.PeerMessage(sender, action.content))
 
     def run_epochs(self, count: int) -> None:
-        """Lets so many epochs pass."""
+        """Advances the time by a number of epochs."""
         for _ in range(count):
             self.now += next(iter(self.gateways.values())).epoch
             for number in sorted(self.gateways):
                 self.deliver(number, self.gateways[number].handle(self.now, i.TimerFired(0)))
 
     def submit(self, number: int, name: str, **changes: Any) -> bool:
-        """A try at one gateway, answered at once when it is sent on."""
+        """Submits a request, answered at once if it is sent; returns whether it was."""
         event = request(name, **({"ring_size": 2} | changes))
         actions = self.gateways[number].handle(self.now, event)
         for send in sends(actions):
@@ -142,12 +142,12 @@
 
 
 def with_checksum(entries: bytes) -> bytes:
-    """A peer message of any content under a right checksum."""
+    """A peer message with a valid checksum."""
     return struct.pack(">I", zlib.crc32(entries)) + entries
 
 
 class LongRing:
-    """A fleet so large that idle members are skipped; messages arrive at once or are lost."""
+    """A cluster so large that coordinators hold the totals; messages arrive at once or are lost."""
 
     def __init__(self, count: int = 300, **changes: Any) -> None:
         self.now = 1.0
@@ -159,11 +159,11 @@
             self.restart(number)
 
     def restart(self, number: int) -> None:
-        """A gateway begins anew, empty."""
+        """Replaces a gateway by an empty one."""
         self.gateways[number] = started(seed=number, now=self.now, number=number, **self.changes)
 
     def deliver(self, sender: int, actions: list[i.Action]) -> list[i.Action]:
-        """Delivers messages until none is left; returns what the gateways do besides."""
+        """Delivers messages until none is left; returns the other actions."""
         done: list[i.Action] = []
         waiting = [(sender, action) for action in actions]
         while waiting:
@@ -178,7 +178,7 @@
         return done
 
     def submit(self, number: int, name: str, **changes: Any) -> bool:
-        """A try at one gateway, with the timers that end its wait; True when it is sent on."""
+        """Submits a request and fires the timers that end its wait; returns whether it was sent."""
         event = request(name, **({"ring_size": 100, "ring_first": 250} | changes))
         actions = self.deliver(number, self.gateways[number].handle(self.now, event))
         self.now += 0.2
@@ -193,21 +193,19 @@
 
 
 class CounterNetwork:
-    """Gateways that may tell each other nothing, with a counter; its answers come at once or are held."""
+    """Gateways with a counter and without peer messages; answers arrive at once or are delayed."""
 
     def __init__(self, count: int = 3, **changes: Any) -> None:
         self.now = 1000.0
         self.numbers: dict[int, float] = {}
-        self.delayed_calls: list[tuple[int, i.AddToCounter]] | None = (
-            None  # calls that have not come to the counter yet
-        )
+        self.delayed_calls: list[tuple[int, i.AddToCounter]] | None = None
         self.outcome = i.Outcome.OK
         self.calls = 0
         changes = {"gateways": count, "may_message_peers": False, "may_use_counter": True} | changes
         self.gateways = [started(seed=n, now=self.now, number=n, **changes) for n in range(count)]
 
     def deliver(self, number: int, actions: list[i.Action]) -> list[i.Action]:
-        """Carries calls out until none is left; returns what the gateway does besides."""
+        """Carries out counter calls until none is left; returns the other actions."""
         done: list[i.Action] = []
         for action in actions:
             if not isinstance(action, i.AddToCounter):
@@ -219,7 +217,7 @@
         return done
 
     def answer_call(self, number: int, call: i.AddToCounter) -> list[i.Action]:
-        """One call has its turn at the counter."""
+        """Executes one counter call and delivers its answer."""
         self.calls += 1
         if self.outcome is i.Outcome.OK:
             self.numbers[call.name] = self.numbers.get(call.name, 0.0) + call.amount
@@ -228,17 +226,17 @@
         return self.deliver(number, self.gateways[number].handle(self.now, answered))
 
     def release_calls(self, at_once: bool = True) -> list[i.Action]:
-        """Held calls have their turn, in their order; those that follow from them too, or are held again."""
+        """Executes delayed calls in order; calls that follow from them are delayed again if not `at_once`."""
         waiting, self.delayed_calls = self.delayed_calls or [], None if at_once else []
         return [action for number, call in waiting for action in self.answer_call(number, call)]
 
     def receive(self, number: int, name: str, **changes: Any) -> list[i.Action]:
-        """A try comes to one gateway."""
+        """Submits a request to one gateway."""
         event = request(name, **({"ring_size": len(self.gateways)} | changes))
         return self.deliver(number, self.gateways[number].handle(self.now, event))
 
     def submit(self, number: int, name: str, **changes: Any) -> bool:
-        """A try, answered at once when it is sent on; True where it is."""
+        """Submits a request, answered at once if it is sent; returns whether it was."""
         actions = self.receive(number, name, **changes)
         for send in sends(actions):
             self.deliver(number, self.gateways[number].handle(self.now, ended(send, i.Outcome.OK)))
