--- a/hoistfold/codec.py
+++ b/hoistfold/codec.py
@@ -8,7 +8,7 @@
 from hoistfold.interface import Plan
 from hoistfold.state import COUNTS_PER_UNIT, Entry, Quota
 
-ENTRY = struct.Struct(">5sBBHHHHHH")
+ENTRY = struct.Struct(">5sBBHHHHHH")  # fields of state.Entry
 CHECKSUM = struct.Struct(">I")
 MAX_ENTRY_BYTES = 256 - CHECKSUM.size  # per message
 
--- a/hoistfold/coordinators.py
+++ b/hoistfold/coordinators.py
@@ -4,7 +4,7 @@
 if the tenant is busy, for a lease of a few more. Use is reported to the secondary coordinator, which is asked
 if the primary does not reply or has started too recently to know the total.
 
-The number of messages is bound by the receivers' intake, not by the number of requests. Without budget,
+The number of messages is bounded by the receivers' intake, not by the number of requests. Without budget,
 tenants with low use are admitted by the last known total, and their use is reported with a later message to
 the coordinator.
 
@@ -57,9 +57,7 @@
     """Checks whether units fit into a quota, as far as its use is known."""
 
     def __call__(self, quota: Quota, units: float, known: bool, ceiling_granted: bool = False) -> bool:
-        """`known`: whether the total is known; `ceiling_granted`: a coordinator has granted the ceiling's
-        part.
-        """
+        """`known`: whether the total is known; `ceiling_granted`: whether a coordinator granted its part."""
 
 
 class Coordination:
@@ -170,9 +168,7 @@
         gateway.set_timer(2 * self.reply_seconds + 2 * gateway.settings.tick, request)
 
     def _send_message(self, receiver: int, entry: bytes, quota: Quota | None = None) -> None:
-        """Sends an entry together with pending reports to the same receiver; a report of `quota` is
-        redundant.
-        """
+        """Sends an entry and pending reports to a receiver; the entry replaces a report of `quota`."""
         reports = self.unreported.get(receiver, {})
         if quota is not None:
             reports.pop(quota.key, None)
--- a/hoistfold/counter_quotas.py
+++ b/hoistfold/counter_quotas.py
@@ -80,12 +80,12 @@
         period, burst, uncounted = self._period(quota), quota.plan.burst, quota.uncounted_units
         added, kind = units + uncounted, (quota.plan, admitted)
 
-        def decide_unasked() -> None:
+        def decide_without_call() -> None:
             quota.uncounted_units += units * decide(None)
 
         def refused() -> None:
             quota.uncounted_units += uncounted
-            decide_unasked()
+            decide_without_call()
 
         def answered(total: float | None) -> None:
             if total is None:  # the service adds it all the same, now or later
@@ -123,7 +123,7 @@
             quota.uncounted_units = 0.0
             self._call(quota, f"{period}", added, answered, refused)
         else:
-            decide_unasked()
+            decide_without_call()
 
     def counter_answered(self, now: float, event: i.CounterAnswered) -> None:
         """Answers under one name arrive in call order."""
--- a/hoistfold/handover.py
+++ b/hoistfold/handover.py
@@ -73,7 +73,7 @@
             quota.counts = {int(index): int(count) & 0xFFFF for index, count in counts}
             quota.counts.setdefault(quota.index, 0)
             if not quota.own + quota.others >= 0:
-                raise ValueError("a level is no number")
+                raise ValueError("level is not a number")
     for number, last_seen in state["heard"].items():
         if int(number) in gateway.peers:
             gateway.peers[int(number)].last_seen = float(last_seen) + clock_offset
--- a/hoistfold/partition.py
+++ b/hoistfold/partition.py
@@ -40,7 +40,7 @@
     """Combines the membership with the seconds since each other member was last seen."""
     unreachable = membership.unreachable | _silent(membership, silences, epoch_seconds)
     reachable = membership.alive - unreachable
-    # A member that no other one can reach is told that it has no quorum, whatever it receives itself.
+    # The membership denies a quorum to a member that no other one can reach, whatever it receives itself.
     return Partition(unreachable, membership.has_quorum and _is_majority(reachable, unreachable))
 
 
--- a/tests/test_coordinators.py
+++ b/tests/test_coordinators.py
@@ -118,7 +118,7 @@
     used_before = at_coordinator.member_use
     assert ring.submit(member, "d")
     assert at_coordinator.counts[quota.index] == quota.counts[quota.index] == 4 * COUNTS_PER_UNIT
-    assert at_coordinator.member_use < used_before  # one unit returned, one taken, and time has passed
+    assert at_coordinator.member_use < used_before  # one unit returned, one used, and time has passed
 
 
 def test_a_report_during_a_lease_does_not_return_its_units() -> None:
@@ -187,8 +187,8 @@
     ring.now += 10.0  # the budget has refilled: the next request reports both
     assert ring.submit(member, "c")
     assert key_of("basic c1") not in gateway.coordination.unreported[coordinator]
-    place = gateway.quotas[key_of("basic c1")].index
-    assert ring.gateways[coordinator].quotas[key_of("basic c1")].counts[place] >= 3 * 4
+    index = gateway.quotas[key_of("basic c1")].index
+    assert ring.gateways[coordinator].quotas[key_of("basic c1")].counts[index] >= 3 * 4
 
 
 def test_with_a_low_budget_tenants_with_low_use_send_no_messages() -> None:
@@ -253,12 +253,12 @@
     members = ring.gateways[255].members(quota, primary_coordinator_index(quota))
     ring.now += 60.0
     ring.unreachable = {members[0]}
-    taken = 0
+    accepted = 0
     for turn in range(60):  # 60 requests in 12 s, at members that are not coordinators
-        taken += ring.submit(members[10 + turn], f"r{turn}", plan="capped")
+        accepted += ring.submit(members[10 + turn], f"r{turn}", plan="capped")
     parts = ceiling_shares(CAPPED)
     allowed = (parts.secondary + parts.members) * (CAPPED.ceiling_burst + 12.0 * CAPPED.ceiling_rate)
-    assert 0 < taken <= allowed
+    assert 0 < accepted <= allowed
 
 
 # Components.
--- a/tests/test_counted.py
+++ b/tests/test_counted.py
@@ -32,9 +32,9 @@
 UNAVAILABLE = [i.Outcome.TIMEOUT, i.Outcome.FULL, i.Outcome.CONNECT_FAILED, i.Outcome.RESET]
 
 
-def admitted(network: CounterNetwork, tries: int, prefix: str = "a") -> int:
+def admitted(network: CounterNetwork, count: int, prefix: str = "a") -> int:
     """Number of requests admitted, submitted to one gateway after the other."""
-    return sum(network.submit(n % len(network.gateways), f"{prefix}{n}") for n in range(tries))
+    return sum(network.submit(n % len(network.gateways), f"{prefix}{n}") for n in range(count))
 
 
 def test_a_hundred_gateways_hold_a_small_quota_together() -> None:
@@ -223,14 +223,14 @@
 
 def test_an_overloaded_counter_is_called_first_for_the_most_valuable_plan() -> None:
     made: list[i.Action] = []
-    stores, dear = CounterQuotas(0.08, made.append), replace(BASIC, name="dear", price=3.0)
+    quotas, dear = CounterQuotas(0.08, made.append), replace(BASIC, name="dear", price=3.0)
 
-    def asks(plan: i.Plan, tries: int) -> int:
+    def count_calls(plan: i.Plan, count: int) -> int:
         before = len(made)
-        for _ in range(tries):
+        for _ in range(count):
             quota = Quota(plan.name.encode(), plan, 0, 9, 0, 0.0, 0.0)
-            asked = Request("r", READ, quota, 3.0, False, 1.0)
-            stores.check(1000.0, asked, True, lambda used: False)
+            arrived = Request("r", READ, quota, 3.0, False, 1.0)
+            quotas.check(1000.0, arrived, True, lambda used: False)
         return len(made) - before
 
     now = 1000.0
@@ -240,29 +240,29 @@
         while made:
             call, now = made.pop(0), now + 0.1
             assert isinstance(call, i.AddToCounter)
-            stores.counter_answered(now, i.CounterAnswered(call.name, i.Outcome.OK, 5.0, latency))
+            quotas.counter_answered(now, i.CounterAnswered(call.name, i.Outcome.OK, 5.0, latency))
 
-    assert [asks(BASIC, 20), asks(dear, 20)] == [20, 20]
-    stores.budget.share = 0.5
-    few, most = asks(BASIC, 20), asks(dear, 20)
+    assert [count_calls(BASIC, 20), count_calls(dear, 20)] == [20, 20]
+    quotas.budget.share = 0.5
+    few, most = count_calls(BASIC, 20), count_calls(dear, 20)
     assert few <= 6 < 18 <= most
     answer(0.07)  # in time, but with a queue that is about to cause refusals
-    assert stores.budget.share < 0.1
+    assert quotas.budget.share < 0.1
     for _ in range(200):
-        asks(dear, 1)
+        count_calls(dear, 1)
         answer(0.002)
-    assert stores.budget.share == 1.0
-    assert asks(BASIC, 20) == 20
+    assert quotas.budget.share == 1.0
+    assert count_calls(BASIC, 20) == 20
 
 
 def test_calls_are_made_first_where_they_most_likely_change_the_decision() -> None:
-    stores = CounterQuotas(0.08, lambda action: None)
+    quotas = CounterQuotas(0.08, lambda action: None)
     inside, refused = (BASIC, True), (BASIC, False)  # admitted without a call, and not
-    stores.budget.over_quota_rate = {inside: 0.0, refused: 0.0}  # the quota is never exhausted
-    assert stores.budget.answer_value(refused) > stores.budget.answer_value(inside) == 0.0
+    quotas.budget.over_quota_rate = {inside: 0.0, refused: 0.0}  # the quota is never exhausted
+    assert quotas.budget.answer_value(refused) > quotas.budget.answer_value(inside) == 0.0
     # exhausted for half of the calls, and for all
-    stores.budget.over_quota_rate = {inside: 0.5, refused: 1.0}
-    assert stores.budget.answer_value(inside) > stores.budget.answer_value(refused) == 0.0
+    quotas.budget.over_quota_rate = {inside: 0.5, refused: 1.0}
+    assert quotas.budget.answer_value(inside) > quotas.budget.answer_value(refused) == 0.0
 
 
 def test_a_fleet_with_a_counter_that_serves_all_its_calls_keeps_to_the_quotas() -> None:
@@ -274,47 +274,52 @@
 
 def test_totals_of_a_name_arrive_in_call_order() -> None:
     """Even if a later call's answer arrives first, on another connection."""
-    loop, told = Loop(print), list[tuple[Outcome, float]]()
-    with Door(Store()) as door:
+    loop, outcomes = Loop(print), list[tuple[Outcome, float]]()
+    with Door(Store()) as server:
         quota_calls = QuotaCalls(
-            loop, print, door.address, 1.0, lambda *end: told.append((end[1], end[2])), lambda name: None
+            loop,
+            print,
+            server.address,
+            1.0,
+            lambda *end: outcomes.append((end[1], end[2])),
+            lambda name: None,
         )
         first: list[Any] = []
         quota_calls.pending[7] = deque([first])  # a call on a slow connection
         for _ in range(2):
             quota_calls.count(7, 1.0, 60.0)
         run_until(loop, lambda: all(quota_calls.pending[7][n] for n in (1, 2)))
-        assert told == []
+        assert outcomes == []
         quota_calls._finish_call(7, first, CallResult(CallEffect.UNCERTAIN, None, 1.0))
-        assert told == [(Outcome.TIMEOUT, 0.0), (Outcome.OK, 1.0), (Outcome.OK, 2.0)]
+        assert outcomes == [(Outcome.TIMEOUT, 0.0), (Outcome.OK, 1.0), (Outcome.OK, 2.0)]
         assert not quota_calls.pending
         quota_calls.close()
 
 
 def test_an_unanswered_call_that_is_refused_late_is_retried() -> None:
     """The queue is longer than the timeout: the module was told that the call may have been executed."""
-    loop, told = Loop(print), list[Outcome]()
+    loop, outcomes = Loop(print), list[Outcome]()
     with socket.create_server(("127.0.0.1", 0)) as server:
         quota_calls = QuotaCalls(
-            loop, print, server.getsockname(), 0.05, lambda *end: told.append(end[1]), lambda name: None
+            loop, print, server.getsockname(), 0.05, lambda *end: outcomes.append(end[1]), lambda name: None
         )
         quota_calls.count(7, -1.0, 60.0)
-        run_until(loop, lambda: told == [Outcome.TIMEOUT])
+        run_until(loop, lambda: outcomes == [Outcome.TIMEOUT])
         counter = server.accept()[0]
-        asked = counter.recv(65536)
+        received = counter.recv(65536)
         counter.sendall(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         counter.setblocking(False)
         again = bytearray()
 
-        def heard() -> bool:
+        def received_again() -> bool:
             with suppress(BlockingIOError):
                 again.extend(counter.recv(65536))
-            return bytes(again) == asked
+            return bytes(again) == received
 
-        run_until(loop, heard)
+        run_until(loop, received_again)
         counter.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n5")
         run_until(loop, lambda: not quota_calls.client.connections[0].calls)
-        assert told == [Outcome.TIMEOUT]
+        assert outcomes == [Outcome.TIMEOUT]
         counter.close()
         quota_calls.close()
 
@@ -322,7 +327,7 @@
 # Real processes.
 
 
-def config_of_two(number: int, box: Box, door: Door | None) -> dict[str, Any]:
+def config_of_two(number: int, box: Box, server: Door | None) -> dict[str, Any]:
     """Configuration of one of two ingresses that may not exchange messages."""
     raw = config(known={"revision": 1, "complete": True, "members": [member(box.address)]})
     settings = raw["settings"]
@@ -330,13 +335,13 @@
     settings["Caps"]["PeerMessages"] = False
     settings["FamilyInfo"] |= {"Counter": True, "CountLimitUs": 2_000_000}
     settings["Contracts"][0] |= {"PeakUnits": 6, "Rate": 0.01}
-    return raw | ({} if door is None else {"counter": f"127.0.0.1:{door.address[1]}"})
+    return raw | ({} if server is None else {"counter": f"127.0.0.1:{server.address[1]}"})
 
 
-def served(connection: socket.socket, tries: int, name: str) -> int:
+def served(connection: socket.socket, requests: int, name: str) -> int:
     """Number of requests served, by one tenant of both ingresses."""
     count = 0
-    for serial in range(tries):
+    for serial in range(requests):
         options = b"c=look,t=plain,d=3000,units=1,spread=2,first=0"
         connection.sendall(command([b"Q.ASK", b"%016x" % 7, f"{name}{serial}".encode(), options]))
         count += kind_of(read(connection)) == "served"
@@ -345,12 +350,12 @@
 
 def test_two_ingresses_hold_a_quota_through_the_counter_only(tmp_path: Path) -> None:
     with ExitStack() as stack:
-        box, door = stack.enter_context(Box()), stack.enter_context(Door(Store()))
+        box, server = stack.enter_context(Box()), stack.enter_context(Door(Store()))
         both: list[Program] = []
         for number in range(2):
             folder = tmp_path / f"{number}"
             folder.mkdir()
-            both.append(stack.enter_context(program(folder, config_of_two(number, box, door))))
+            both.append(stack.enter_context(program(folder, config_of_two(number, box, server))))
         connections = [one.call() for one in both]
         assert served(connections[0], 5, "a") == 5  # more than an even share
         assert served(connections[1], 5, "b") == 1
@@ -359,12 +364,16 @@
 
 def test_a_request_of_a_disconnected_client_is_not_sent_after_the_counter_call(tmp_path: Path) -> None:
     way = Way(delay=0.5)
-    with Box() as box, Door(Store(), way) as door, program(tmp_path, config_of_two(0, box, door)) as running:
+    with (
+        Box() as box,
+        Door(Store(), way) as server,
+        program(tmp_path, config_of_two(0, box, server)) as running,
+    ):
         leaves, stays = running.call(), running.call()
         options = b"c=look,t=plain,d=3000,units=1,spread=2,first=0"
         leaves.sendall(command([b"Q.ASK", b"%016x" % 7, b"gone", options]))
         end = time.monotonic() + 20.0
-        while not door.store.calls:
+        while not server.store.calls:
             assert time.monotonic() < end
             time.sleep(0.01)
         leaves.close()
@@ -377,22 +386,22 @@
 
 def test_a_reload_moves_the_calls_to_another_counter(tmp_path: Path) -> None:
     with ExitStack() as stack:
-        box, door = stack.enter_context(Box()), stack.enter_context(Door(Store()))
+        box, server = stack.enter_context(Box()), stack.enter_context(Door(Store()))
         other = stack.enter_context(Door(Store()))
-        running = stack.enter_context(program(tmp_path, config_of_two(0, box, door)))
+        running = stack.enter_context(program(tmp_path, config_of_two(0, box, server)))
         connection = running.call()
         assert served(connection, 1, "a") == 1
         (tmp_path / "config.json").write_text(json.dumps(config_of_two(0, box, other)))
         running.process.send_signal(signal.SIGHUP)
         running.logged("reload: done")
-        before = door.store.calls
+        before = server.store.calls
         served(connection, 4, "b")  # a call that was open during the change makes the next ones rarer
-        assert (door.store.calls, other.store.calls > 0) == (before, True), running.log
+        assert (server.store.calls, other.store.calls > 0) == (before, True), running.log
 
 
 def test_a_silent_counter_delays_a_response_only_by_its_timeout(tmp_path: Path) -> None:
-    with Box() as box, Door(Store(), Way(cut={0})) as door:
-        raw = config_of_two(0, box, door)
+    with Box() as box, Door(Store(), Way(cut={0})) as server:
+        raw = config_of_two(0, box, server)
         raw["settings"]["FamilyInfo"]["CountLimitUs"] = 100_000
         with program(tmp_path, raw) as running:
             assert served(running.call(), 1, "a") == 1
--- a/tests/test_fleet_quotas.py
+++ b/tests/test_fleet_quotas.py
@@ -118,9 +118,9 @@
         return judge(self.requests, RATE, BURST)
 
 
-def _arrivals(chance: random.Random, seconds: float, rate: float) -> list[float]:
+def _arrivals(random_source: random.Random, seconds: float, rate: float) -> list[float]:
     at, times = 0.0, []
-    while (at := at + chance.expovariate(rate)) < seconds:
+    while (at := at + random_source.expovariate(rate)) < seconds:
         times.append(at)
     return times
 
@@ -250,9 +250,7 @@
                 break
             self.now = max(self.now, self.next_epochs[number])
             # Timers are late, never early.
-            interval = self.gateways[number].epoch * self.random.uniform(
-                1.0, 1.15
-            )  # timers are late, and never early
+            interval = self.gateways[number].epoch * self.random.uniform(1.0, 1.15)
             self.next_epochs[number] = self.now + interval
             self.deliver(number, self.gateways[number].handle(self.now, i.TimerFired(0)))
             self.advance_members()
@@ -343,9 +341,9 @@
     ring.run(6.0, {"calm": 0.3}, (1, 1, 1, 0, 0))
     ring.requests.clear()
     ring.run(30.0, {f"late{n}": 3.0 for n in range(4)}, (0, 0, 0, 1, 1))
-    part = MINORITY_SHARE * 2 / 5
-    most = part * (BURST + 10.0 * RATE) + 2  # one request each, as one always fits
-    assert 0 < ring.verdict().use * (BURST + 10.0 * RATE) <= most
+    share = MINORITY_SHARE * 2 / 5
+    limit = share * (BURST + 10.0 * RATE) + 2  # one request each, as one always fits
+    assert 0 < ring.verdict().use * (BURST + 10.0 * RATE) <= limit
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -374,18 +372,18 @@
     assert sum(ring.submit(3, f"a{n}", tenant="one", ring_size=SIZE) for n in range(6)) == 6
     ring.partition(3, 4)
     ring.advance(ring.now + 0.6)
-    assert not ring.submit(3, "in the cut", tenant="one", ring_size=SIZE)
+    assert not ring.submit(3, "partitioned", tenant="one", ring_size=SIZE)
     ring.blocked = lambda sender, to: False
     ring.advance(ring.now + 1.0)
     assert sum(ring.submit(3, f"b{n}", tenant="one", ring_size=SIZE) for n in range(5)) == 5
 
 
 @pytest.mark.parametrize(
-    ("size", "cut_off"), [(5, (3, 4)), (6, (4, 5)), (8, (5, 6, 7)), (12, (7, 8, 9, 10, 11))]
+    ("size", "minority"), [(5, (3, 4)), (6, (4, 5)), (8, (5, 6, 7)), (12, (7, 8, 9, 10, 11))]
 )
 @pytest.mark.parametrize("seed", range(6))
 def test_the_minority_stays_within_its_share_while_deaths_are_detected_one_by_one(
-    seed: int, size: int, cut_off: tuple[int, ...]
+    seed: int, size: int, minority: tuple[int, ...]
 ) -> None:
     """Guards against a minority that uses the whole quota for 2 s while deaths are still being detected.
     It stops within four epochs, when the other side is silent. Once the first of these members was declared
@@ -395,21 +393,21 @@
     """
     ring = Ring(seed=seed, size=size)
     ring.advance(ring.now + 4.0)
-    ring.partition(*cut_off)
+    ring.partition(*minority)
     ring.advance(ring.now + 6 * ring.gateways[0].epoch)  # the other side is unreachable by now
-    missing: set[int] = set()
+    unreachable_counts: set[int] = set()
     while ring.now < 1e6 + 20.0:
         ring.advance(ring.now + 0.1)
-        for number in cut_off:
+        for number in minority:
             ran = ring.submit(number, f"r{len(ring.requests)}", tenant="one", ring_size=size)
             ring.requests.append(Try(ring.now, "one", 1.0, ran))
-            missing.add(len(ring.notified[number].unreachable))
-    assert missing & set(range(1, size - len(cut_off)))  # deaths were detected one by one
-    assert size - len(cut_off) in missing
+            unreachable_counts.add(len(ring.notified[number].unreachable))
+    assert unreachable_counts & set(range(1, size - len(minority)))  # deaths were detected one by one
+    assert size - len(minority) in unreachable_counts
     allowance = BURST + 10.0 * RATE
-    most = MINORITY_SHARE * len(cut_off) / size * allowance
-    most += len(cut_off)  # one request each, as one always fits
-    assert 0 < ring.verdict().use * allowance <= most
+    limit = MINORITY_SHARE * len(minority) / size * allowance
+    limit += len(minority)  # one request each, as one always fits
+    assert 0 < ring.verdict().use * allowance <= limit
 
 
 def test_after_a_crash_of_some_members_the_others_use_the_whole_quota() -> None:
@@ -455,9 +453,9 @@
     assert admitted <= 5  # one large request's allowance; the window is full, and drains by 4
 
 
-def membership_without(*missing: int, size: int = 10) -> i.MembershipChanged:
-    present = frozenset(range(size)) - frozenset(missing)
-    return i.MembershipChanged(present, frozenset(missing), True, present, frozenset())
+def membership_without(*unreachable: int, size: int = 10) -> i.MembershipChanged:
+    alive = frozenset(range(size)) - frozenset(unreachable)
+    return i.MembershipChanged(alive, frozenset(unreachable), True, alive, frozenset())
 
 
 def test_cold_backends_are_divided_among_the_alive_members() -> None:
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -62,11 +62,11 @@
             attempt = self.attempts.get(action.request, 0)
             self.attempts[action.request] = attempt + 1
             outcome = self.random.choice(ENDINGS)
-            took = self.random.choice([0.01, 0.1, 0.5, 2.0])
+            latency = self.random.choice([0.01, 0.1, 0.5, 2.0])
             ended = i.AttemptEnded(
-                action.request, action.backend, attempt, took, outcome, False, 0.0, 0.0, ()
+                action.request, action.backend, attempt, latency, outcome, False, 0.0, 0.0, ()
             )
-            self.schedule(took, ended)
+            self.schedule(latency, ended)
         elif isinstance(action, i.Refuse | i.Fail):
             assert not self.responses[action.request]
             self.responses[action.request] += 1
@@ -84,15 +84,15 @@
             left, size = self.random.choice([0.3, 1.0, 3.0]), min(self.gateways, 100)
             self.requests[name], self.responses[name] = (kind, self.now + left), 0
             plan = self.random.choice(["basic", "capped", "open"])
-            customer = f"c{self.random.randrange(3)}"
+            tenant = f"c{self.random.randrange(3)}"
             self.handle(
-                request(name, class_name=kind, plan=plan, tenant=customer, time_left=left, ring_size=size)
+                request(name, class_name=kind, plan=plan, tenant=tenant, time_left=left, ring_size=size)
             )
         elif what == "drain":
             name = f"b{self.random.randrange(6)}"
             self.active.discard(name)
-            gone = backend(name, availability=i.Availability.DRAINING)
-            self.handle(listed(gone, kind=i.ListKind.CHANGES))
+            draining = backend(name, availability=i.Availability.DRAINING)
+            self.handle(listed(draining, kind=i.ListKind.CHANGES))
         elif what == "return":
             name = f"b{self.random.randrange(6)}"
             self.active.add(name)
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -22,8 +22,8 @@
 )
 
 
-def key_of(customer: str) -> bytes:
-    return hashlib.blake2b(customer.encode(), digest_size=5).digest()
+def key_of(name: str) -> bytes:
+    return hashlib.blake2b(name.encode(), digest_size=5).digest()
 
 
 def coordinators_of(ring: LongRing) -> list[int]:
@@ -32,24 +32,24 @@
     return ring.gateways[255].members(quota, int.from_bytes(quota.key, "big") % 100)[:2]
 
 
-def admitted(network: PeerNetwork, number: int, tries: int, name: str = "x") -> int:
-    return sum(network.submit(number, f"{name}{n}") for n in range(tries))
+def admitted(network: PeerNetwork, number: int, count: int, name: str = "x") -> int:
+    return sum(network.submit(number, f"{name}{n}") for n in range(count))
 
 
 def test_a_ring_of_one_grants_the_quota_and_refuses_with_retry_after() -> None:
     gateway = started()
-    taken = 0
+    accepted = 0
     for n in range(20):
         actions = gateway.handle(1.0, request(f"r{n}"))
         for send in sends(actions):
-            taken += 1
+            accepted += 1
             gateway.handle(1.0, ended(send, i.Outcome.OK))
         if not sends(actions):
             refusal = actions[-1]
             assert isinstance(refusal, i.Refuse)
             assert refusal.retry_after is not None
             assert 0 < refusal.retry_after <= 2.0
-    assert taken == 10
+    assert accepted == 10
 
 
 def test_use_by_other_members_is_subtracted() -> None:
@@ -100,45 +100,45 @@
 def test_a_quota_holds_over_a_hundred_members_with_one_request_each() -> None:
     """Guards against passing totals through all members: a round took half a minute, with wrong decisions."""
     ring = LongRing()
-    members = [(250 + place) % 300 for place in range(0, 100, 2)]
-    taken = sum(ring.submit(number, f"r{number}") for number in members)
-    assert 26 <= taken <= 30  # burst 10, then 2 per second for 10 s
+    members = [(250 + index) % 300 for index in range(0, 100, 2)]
+    accepted = sum(ring.submit(number, f"r{number}") for number in members)
+    assert 26 <= accepted <= 30  # burst 10, then 2 per second for 10 s
     assert ring.bytes_sent <= 100 * 50  # two coordinators, each way
 
 
 def test_a_tenant_with_low_use_is_admitted_at_every_member() -> None:
     ring = LongRing()
-    places = range(0, 100, 7)
-    assert all(ring.submit((250 + place) % 300, f"r{place}", tenant=f"c{place}") for place in places)
+    indices = range(0, 100, 7)
+    assert all(ring.submit((250 + index) % 300, f"r{index}", tenant=f"c{index}") for index in indices)
 
 
 def test_a_long_ring_skips_an_unresponsive_coordinator() -> None:
     ring = LongRing()
     coordinators = coordinators_of(ring)
     ring.unreachable = {coordinators[0]}
-    members = [n for n in ((250 + place) % 300 for place in range(40)) if n not in coordinators]
-    taken = sum(ring.submit(number, f"r{number}") for number in members)
-    assert 20 <= taken <= 30
+    members = [n for n in ((250 + index) % 300 for index in range(40)) if n not in coordinators]
+    accepted = sum(ring.submit(number, f"r{number}") for number in members)
+    assert 20 <= accepted <= 30
 
 
 def test_a_restarted_coordinator_does_not_reset_the_quota() -> None:
     ring = LongRing()
     coordinators = coordinators_of(ring)
-    members = [n for n in ((250 + place) % 300 for place in range(60)) if n not in coordinators]
+    members = [n for n in ((250 + index) % 300 for index in range(60)) if n not in coordinators]
     sum(ring.submit(number, f"a{number}") for number in members[:25])
     ring.restart(coordinators[0])
-    taken = sum(ring.submit(number, f"b{number}") for number in members[25:45])
-    assert taken <= 10  # 2 per second for 4 s, and one or two left
+    accepted = sum(ring.submit(number, f"b{number}") for number in members[25:45])
+    assert accepted <= 10  # 2 per second for 4 s, and one or two left
 
 
 def test_messages_of_any_content_do_no_harm_in_a_long_ring() -> None:
     ring = LongRing(30, peer_intake=5.0)
-    asked = actions_of(
+    messages = actions_of(
         ring.gateways[3].handle(1.0, request("r", ring_size=20, ring_first=0)), i.SendPeerMessage
     )
     random_source = random.Random(5)
     for _ in range(3000):
-        body = bytes(random_source.randrange(256) for _ in range(len(asked[0].content) - 4))
+        body = bytes(random_source.randrange(256) for _ in range(len(messages[0].content) - 4))
         ring.gateways[3].handle(1.0, i.PeerMessage(random_source.randrange(30), with_checksum(body)))
     assert not ring.gateways[3].quotas[key_of("basic c1")].others
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -65,14 +65,14 @@
 def test_a_cold_backend_is_given_only_its_share() -> None:
     gateway = started("b1")
     gateway.handle(1.0, listed(backend("b1", started=1.0), kind=i.ListKind.CHANGES))
-    taken = 0
+    accepted = 0
     for n in range(60):
         now = 1.0 + n * 0.05
         for send in sends(gateway.handle(now, request(f"r{n}", tenant=f"c{n}"))):
-            taken += 1
+            accepted += 1
             gateway.handle(now + 0.01, ended(send, i.Outcome.OK, latency=0.125))
     # a third of 2.5 x the capacity of one core over 3 s, with 1/8 s of work per request
-    assert 1 <= taken <= 2.5 * 0.5 * 3 / 3 / 0.125
+    assert 1 <= accepted <= 2.5 * 0.5 * 3 / 3 / 0.125
 
 
 def test_each_gateway_keeps_its_share_of_the_ceiling() -> None:
@@ -80,8 +80,8 @@
     sent = 0
     for n in range(2000):
         now = n * 0.005
-        asked = request(f"r{n}", plan="capped", ring_size=3)
-        for send in sends(gateway.handle(now, asked)):
+        arrival = request(f"r{n}", plan="capped", ring_size=3)
+        for send in sends(gateway.handle(now, arrival)):
             sent += 1
             gateway.handle(now, ended(send, i.Outcome.OK))
     assert sent <= (20.0 * 10 + 40.0) / 3
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -10,16 +10,16 @@
     """A hung backend holds old attempts and answers none sent since."""
     gateway = started("b1 b2")
     hung, now = "b1", 1.0
-    got: list[float] = []
+    attempt_times: list[float] = []
     for n in range(200):
         now += 0.05
         for send in sends(gateway.handle(now, request(f"r{n}", tenant=f"c{n}"))):
             if send.backend == hung:
-                got.append(now)
+                attempt_times.append(now)
             else:
                 gateway.handle(now, ended(send, i.Outcome.OK, latency=0.05))
-    late = [when for when in got if when > 4.0]
-    assert got
+    late = [when for when in attempt_times if when > 4.0]
+    assert attempt_times
     assert len(late) <= 8  # at most one trial per second for 7 s
 
 
@@ -64,14 +64,14 @@
 def test_a_few_clients_with_longer_timeouts_do_not_make_the_others_late() -> None:
     """The longest timeout was taken for that of all first attempts, and half of the requests was refused."""
     gateway = started("b1 b2 b3 b4")
-    taken = 0
+    accepted = 0
     for n in range(300):
         left = 3.0 if n % 15 == 0 else 1.9
         for send in sends(gateway.handle(1.0 + n, request(f"w{n}", tenant=f"w{n}", time_left=left))):
             gateway.handle(1.05 + n, ended(send, i.Outcome.OK, latency=0.05))
     for n in range(40):
-        taken += len(sends(gateway.handle(400.0, request(f"r{n}", tenant=f"r{n}", time_left=1.9))))
-    assert taken >= 7  # most of the capacity, not only the late requests' share
+        accepted += len(sends(gateway.handle(400.0, request(f"r{n}", tenant=f"r{n}", time_left=1.9))))
+    assert accepted >= 7  # most of the capacity, not only the late requests' share
 
 
 def test_a_cold_backend_of_a_large_fleet_gets_whole_requests_from_few_gateways() -> None:
@@ -81,8 +81,8 @@
         gateway = started("b1", gateways=300, number=number)
         gateway.handle(1.0, listed(backend("b1", started=1.0), kind=i.ListKind.CHANGES))
         for n in range(8):
-            asked = request(f"r{n}", tenant=f"c{n}")
-            sent += len(sends(gateway.handle(1.0 + 0.5 * n, asked)))
+            arrival = request(f"r{n}", tenant=f"c{n}")
+            sent += len(sends(gateway.handle(1.0 + 0.5 * n, arrival)))
     # at most the stated multiple of one core's work over 4 s, with 1/8 s per request
     assert 1 <= sent <= 2.5 * 0.45 * 4 / 0.125
 
@@ -90,8 +90,8 @@
 def test_one_attempt_does_not_overload_a_gateway_with_little_traffic() -> None:
     """With a capacity below one attempt per gateway, most requests were refused on idle backends."""
     gateway = started(" ".join(f"b{n}" for n in range(60)), gateways=300)
-    asked = [gateway.handle(1.0, request(f"r{n}", tenant=f"c{n}")) for n in range(3)]
-    assert all(sends(actions) for actions in asked)
+    results = [gateway.handle(1.0, request(f"r{n}", tenant=f"c{n}")) for n in range(3)]
+    assert all(sends(actions) for actions in results)
 
 
 def test_each_gateway_of_a_large_fleet_works_with_few_backends_all_alike() -> None:
@@ -169,8 +169,8 @@
         gateway._record_outcome(gateway.backends["b1"], gateway.classes["read"], full)
     assert gateway.limit == 8.0
     gateway.avg_in_flight = 0.0
-    got = [sends(gateway.handle(3.0 + n / 100, request(f"r{n}", tenant=f"c{n}"))) for n in range(20)]
-    assert sum(send.backend == "b1" for some in got for send in some) <= 1
+    results = [sends(gateway.handle(3.0 + n / 100, request(f"r{n}", tenant=f"c{n}"))) for n in range(20)]
+    assert sum(send.backend == "b1" for some in results for send in some) <= 1
 
 
 def test_lost_responses_do_not_use_up_the_capacity() -> None:
@@ -206,13 +206,13 @@
 def test_a_plan_that_pays_for_excess_gets_spare_capacity() -> None:
     """Requests that earn 0.3 of their worth were refused on idle backends; others still are."""
     gateway = started("b1 b2 b3 b4", plans=(BASIC, PAID))
-    taken = {"basic": 0, "paid": 0}
+    accepted = {"basic": 0, "paid": 0}
     for n in range(60):
-        for plan in taken:
+        for plan in accepted:
             for send in sends(gateway.handle(1.0, request(f"{plan}{n}", plan=plan))):
-                taken[plan] += 1
+                accepted[plan] += 1
                 gateway.handle(1.0, ended(send, i.Outcome.OK))
-    assert taken == {"basic": 10, "paid": 60}
+    assert accepted == {"basic": 10, "paid": 60}
     assert max(quota.own for quota in gateway.quotas.values()) <= 10  # the quota is not charged
 
 
@@ -221,15 +221,15 @@
     for n in range(10):
         for send in sends(gateway.handle(1.0, request(f"u{n}", plan="paid"))):
             gateway.handle(1.0, ended(send, i.Outcome.OK))
-    beyond = [gateway.handle(1.5, request(f"s{n}", plan="paid")) for n in range(40)]
-    assert 0 < sum(len(sends(actions)) for actions in beyond) < 40
+    over_quota = [gateway.handle(1.5, request(f"s{n}", plan="paid")) for n in range(40)]
+    assert 0 < sum(len(sends(actions)) for actions in over_quota) < 40
     inside = gateway.handle(1.5, request("r", tenant="other"))
     assert sends(inside)  # capacity is left for requests within quota
 
 
 def test_one_broken_connection_does_not_eject_a_backend() -> None:
     """With occasional resets, a third of the backends was ejected and the others were overloaded."""
-    for outcomes, suspected in [
+    for outcomes, ejected in [
         ([i.Outcome.RESET], False),
         ([i.Outcome.RESET, i.Outcome.OK, i.Outcome.RESET], False),
         ([i.Outcome.ERROR, i.Outcome.ERROR], False),
@@ -241,7 +241,7 @@
         out = [sends(gateway.handle(1.0, request(name, class_name="buy", tenant=name)))[0] for name in names]
         for send, outcome in zip(out, outcomes, strict=True):
             gateway.handle(1.1, ended(send, outcome))
-        assert (gateway.backends["b1"].ejected_since is not None) is suspected
+        assert (gateway.backends["b1"].ejected_since is not None) is ejected
 
 
 def test_a_backend_with_lost_responses_is_soon_used_again() -> None:
--- a/tests/test_vast.py
+++ b/tests/test_vast.py
@@ -90,9 +90,9 @@
 
 @how(max_examples=15, deadline=None, derandomize=True)
 @given(st.integers(1, 100), st.integers(2, 200), st.integers(0, 199))
-def test_adding_or_removing_a_backend_changes_few_subsets(gateways: int, count: int, lost: int) -> None:
+def test_adding_or_removing_a_backend_changes_few_subsets(gateways: int, count: int, removed: int) -> None:
     names = [f"b{n}" for n in range(count)]
-    without = [name for name in names if name != f"b{lost % count}"]
+    without = [name for name in names if name != f"b{removed % count}"]
     joins = losses = 0
     for number in range(gateways):
         more, fewer = (
@@ -153,13 +153,13 @@
             for send in sends(gateway.handle(now, event)):
                 assert send.backend in names
         if names:
-            gone = sorted(names)[0]
+            drained = sorted(names)[0]
             gateway.handle(
-                now, listed(backend(gone, availability=i.Availability.DRAINING), kind=i.ListKind.CHANGES)
+                now, listed(backend(drained, availability=i.Availability.DRAINING), kind=i.ListKind.CHANGES)
             )
             for n in range(3):
                 event = request(f"d{turn}-{n}", class_name="view", plan="full", ring_size=1)
-                assert all(send.backend != gone for send in sends(gateway.handle(now + 0.6, event)))
+                assert all(send.backend != drained for send in sends(gateway.handle(now + 0.6, event)))
 
 
 @pytest.mark.parametrize("changes", [
--- a/tests/test_witness.py
+++ b/tests/test_witness.py
@@ -24,12 +24,14 @@
             super().deliver(sender, actions)
         for note in actions_of(actions, i.UseReported):
             self.registers[note.tenant_key, note.ring_index] = note
-            for (key, place), held in sorted(self.registers.items()):
-                if self.reconciliation_readable and key == note.tenant_key and place != note.ring_index:
-                    self.gateways[sender].handle(self.now, i.UseObserved(key, place, held.count, held.level))
+            for (key, ring_index), register in sorted(self.registers.items()):
+                if self.reconciliation_readable and key == note.tenant_key and ring_index != note.ring_index:
+                    self.gateways[sender].handle(
+                        self.now, i.UseObserved(key, ring_index, register.count, register.level)
+                    )
 
-    def admitted(self, number: int, tries: int) -> int:
-        return sum(self.submit(number, f"{self.now} {number} {n}") for n in range(tries))
+    def admitted(self, number: int, count: int) -> int:
+        return sum(self.submit(number, f"{self.now} {number} {n}") for n in range(count))
 
 
 def test_without_a_ring_reconciliation_holds_the_quota_and_admits_more_than_the_allowance() -> None:
@@ -59,13 +61,13 @@
     used = network.admitted(0, 20)
     assert used >= 4
     network.run_epochs(1)
-    (key, place), held = next(item for item in network.registers.items() if item[0][1] == 0)
+    (key, ring_index), register = next(item for item in network.registers.items() if item[0][1] == 0)
     network.restart(0)
     assert network.submit(0, "again")
-    network.gateways[0].handle(network.now, i.UseObserved(key, place, held.count, held.level))
+    network.gateways[0].handle(network.now, i.UseObserved(key, ring_index, register.count, register.level))
     quota = network.gateways[0].quotas[key]
-    assert quota.own + quota.others >= held.level * BASIC.burst
-    assert quota.counts[0] == held.count + 4  # in quarters of a unit: use since the restart is added
+    assert quota.own + quota.others >= register.level * BASIC.burst
+    assert quota.counts[0] == register.count + 4  # in quarters of a unit: use since the restart is added
 
 
 def test_a_reset_register_and_an_older_count_are_ignored() -> None:
