--- a/lab/bench_counter.py
+++ b/lab/bench_counter.py
@@ -290,12 +290,12 @@
     """The promise in every case."""
     with ThreadPoolExecutor(AT_ONCE) as pool:
         for case, (verdict, unanswered, calls) in zip(cases, pool.map(play, cases), strict=True):
-            report.tell(f"{case.name}_use", verdict.use, "of_allowance", "<=1.1")
-            report.tell(f"{case.name}_wrong", verdict.wrong, "of_inside", f"<={case.wrong}")
-            report.tell(f"{case.name}_wrong_calm", verdict.wrong_calm, "of_inside", f"<={case.wrong}")
-            report.tell(f"{case.name}_unanswered", unanswered, "count", f"<={case.unanswered}")
+            report.print_figure(f"{case.name}_use", verdict.use, "of_allowance", "<=1.1")
+            report.print_figure(f"{case.name}_wrong", verdict.wrong, "of_inside", f"<={case.wrong}")
+            report.print_figure(f"{case.name}_wrong_calm", verdict.wrong_calm, "of_inside", f"<={case.wrong}")
+            report.print_figure(f"{case.name}_unanswered", unanswered, "count", f"<={case.unanswered}")
             if case.witness:
-                report.tell(f"{case.name}_calls", calls, "per_request")
+                report.print_figure(f"{case.name}_calls", calls, "per_request")
 
 
 def cost(report: Report) -> None:
@@ -320,9 +320,11 @@
                 load.stop()
             count = sum(sum(load.ends(since).values()) for load in callers)
             spent[name] = (after[name] - before[name]) / max(1, count)
-            report.tell(f"cpu_{name}", 1e6 * spent[name], "us_per_request")
-        report.tell("cpu_calls", (on.store.calls - calls) / 12.0 / INGRESSES, "per_second_per_ingress")
-    report.tell("cpu_on_over_off", spent["on"] / spent["off"], "ratio", "<=1.1")
+            report.print_figure(f"cpu_{name}", 1e6 * spent[name], "us_per_request")
+        report.print_figure(
+            "cpu_calls", (on.store.calls - calls) / 12.0 / INGRESSES, "per_second_per_ingress"
+        )
+    report.print_figure("cpu_on_over_off", spent["on"] / spent["off"], "ratio", "<=1.1")
 
 
 def memory(report: Report) -> None:
@@ -332,9 +334,9 @@
         for name, witness in ((f"window_{tenants}_off", False), (f"window_{tenants}_on", True)):
             with ProcessPoolExecutor(1, spawn) as pool:
                 held, worst, noted = pool.submit(window, witness, tenants).result()
-            report.tell(f"{name}_memory", held, "MB", "<=192")
-            report.tell(f"{name}_epoch", 1000 * worst, "ms_at_worst", f"<={longest}")
-            report.tell(f"{name}_noted", noted, "customers")
+            report.print_figure(f"{name}_memory", held, "MB", "<=192")
+            report.print_figure(f"{name}_epoch", 1000 * worst, "ms_at_worst", f"<={longest}")
+            report.print_figure(f"{name}_noted", noted, "customers")
 
 
 def window(witness: bool, tenants: int) -> tuple[float, float, int]:
--- a/lab/bench_fleet.py
+++ b/lab/bench_fleet.py
@@ -131,8 +131,8 @@
                 load.stop()
             count = sum(sum(load.ends(since).values()) for load in callers)
             spent[name] = (after[name] - before[name]) / max(1, count)
-            report.tell(f"fleet.cpu-{name}", 1e6 * spent[name], "us-a-request")
-    report.tell("fleet.cpu-on-over-off", spent["on"] / spent["off"], "ratio", "<=1.03")
+            report.print_figure(f"fleet.cpu-{name}", 1e6 * spent[name], "us-a-request")
+    report.print_figure("fleet.cpu-on-over-off", spent["on"] / spent["off"], "ratio", "<=1.03")
 
 
 def main() -> int:
@@ -144,27 +144,29 @@
         played = {(name, view): pool.submit(play, name, view) for name in CASES for view in (False, True)}
         for (name, view), future in played.items():
             case, prefix = future.result(), f"fleet.{name}.{'on' if view else 'off'}"
-            report.tell(f"{prefix}.use", case.use, "of-allowance", "<=1.1" if view else "-")
+            report.print_figure(f"{prefix}.use", case.use, "of-allowance", "<=1.1" if view else "-")
             # a side that is cut off refuses what it may not spend: the bound is for the one that goes on
             bound = "<=0.02" if view and not name.startswith("cut") else "-"
-            report.tell(f"{prefix}.wrong", case.wrong, "of-inside", bound)
+            report.print_figure(f"{prefix}.wrong", case.wrong, "of-inside", bound)
             if name.startswith("cut"):
                 bound = "<=0.02" if view else "-"
-                report.tell(f"{prefix}.refused-calm-serving", case.serving, "of-inside", bound)
-            report.tell(f"{prefix}.unanswered", case.unanswered, "requests", "<=0")
-            report.tell(f"{prefix}.ran-twice", case.twice, "changes", "<=0")
+                report.print_figure(f"{prefix}.refused-calm-serving", case.serving, "of-inside", bound)
+            report.print_figure(f"{prefix}.unanswered", case.unanswered, "requests", "<=0")
+            report.print_figure(f"{prefix}.ran-twice", case.twice, "changes", "<=0")
         for size, future_of in large.items():
             found = future_of.result()
             for name, most in (("crash", 5.0), ("join", 3.0), ("healed", 5.0)):
                 factor = 2.0 if size > MANY else 1.0
-                report.tell(f"fleet.simulated-{size}.{name}", found[name], "s", f"<={most * factor}")
-            report.tell(f"fleet.simulated-{size}.start", found["start"], "s")
-            report.tell(f"fleet.simulated-{size}.messages", found["messages"], "a-second-each-way", "<=8")
+                report.print_figure(f"fleet.simulated-{size}.{name}", found[name], "s", f"<={most * factor}")
+            report.print_figure(f"fleet.simulated-{size}.start", found["start"], "s")
+            report.print_figure(
+                f"fleet.simulated-{size}.messages", found["messages"], "a-second-each-way", "<=8"
+            )
         gone, hours = map(sum, zip(*(future.result() for future in wrongly), strict=True))
-        report.tell("fleet.falsely-gone", gone, f"in-{hours:.0f}-member-hours", "<=0")
+        report.print_figure("fleet.falsely-gone", gone, f"in-{hours:.0f}-member-hours", "<=0")
     for name, value in times().items():
         bounds = {"crash": "<=5", "join": "<=3", "healed": "<=5", "idle-cpu": "-", "start": "-"}
-        report.tell(
+        report.print_figure(
             f"fleet.real-{MANY}.{name}", value, "of-a-core" if name == "idle-cpu" else "s", bounds[name]
         )
     cost(report)
--- a/lab/bench_ops.py
+++ b/lab/bench_ops.py
@@ -115,8 +115,8 @@
     for sock in held:
         sock.close()
     ingress.end()
-    report.tell("ops.slowest_answer", slowest, "s", "<=1")
-    report.tell("ops.wrong_answers", wrong, "calls", "==0")
+    report.print_figure("ops.slowest_answer", slowest, "s", "<=1")
+    report.print_figure("ops.wrong_answers", wrong, "calls", "==0")
 
 
 def upgrades(report: Report, place: Place) -> None:
@@ -133,12 +133,12 @@
             ingress.end()
             leaves, ingress = max(leaves, time.monotonic() - began), newer
     ends, again = callers.ends(), sum(one.again for one in callers.asked)
-    report.tell("upgrade.requests", sum(ends.values()), "requests")
-    report.tell("upgrade.lost", ends["lost"], "requests", "==0")
-    report.tell("upgrade.failed", ends["failed"], "requests", "==0")
-    report.tell("upgrade.sent_once_more", again, "requests")
-    report.tell("upgrade.slowest_yes", slowest, "s", "<=6")
-    report.tell("upgrade.slowest_leave", leaves, "s", "<=3.7")
+    report.print_figure("upgrade.requests", sum(ends.values()), "requests")
+    report.print_figure("upgrade.lost", ends["lost"], "requests", "==0")
+    report.print_figure("upgrade.failed", ends["failed"], "requests", "==0")
+    report.print_figure("upgrade.sent_once_more", again, "requests")
+    report.print_figure("upgrade.slowest_yes", slowest, "s", "<=6")
+    report.print_figure("upgrade.slowest_leave", leaves, "s", "<=3.7")
     with loaded(place.door.getsockname()) as callers:
         emptied = 0.0
         for _ in range(DRAINS):
@@ -150,10 +150,10 @@
             emptied = max(emptied, time.monotonic() - began)
             call(ingress, "POST", "/api/rejoin")
     ends, again = callers.ends(), sum(one.again for one in callers.asked)
-    report.tell("drain.requests", sum(ends.values()), "requests")
-    report.tell("drain.lost", ends["lost"], "requests", "==0")
-    report.tell("drain.failed", ends["failed"], "requests", "==0")
-    report.tell("drain.sent_once_more", again, "requests")
+    report.print_figure("drain.requests", sum(ends.values()), "requests")
+    report.print_figure("drain.lost", ends["lost"], "requests", "==0")
+    report.print_figure("drain.failed", ends["failed"], "requests", "==0")
+    report.print_figure("drain.sent_once_more", again, "requests")
     ingress.end()
 
 
@@ -173,9 +173,9 @@
     sent = [at for at, what, _ in boxes[0].do("stats")["events"] if what == "request"]
     last = max((at for at in sent if at < back), default=out)
     first = min((at for at in sent if at >= back), default=back + 100)
-    report.tell("hand.sends_before", sum(at < out for at in sent), "sends", ">=1")
-    report.tell("hand.last_send_after_out", last - out, "s", "<=0.5")
-    report.tell("hand.first_send_after_back", first - back, "s", "<=5")
+    report.print_figure("hand.sends_before", sum(at < out for at in sent), "sends", ">=1")
+    report.print_figure("hand.last_send_after_out", last - out, "s", "<=0.5")
+    report.print_figure("hand.first_send_after_back", first - back, "s", "<=5")
 
 
 def long_values(report: Report, place: Place, boxes: list[BoxProcess]) -> None:
@@ -208,9 +208,9 @@
         reader.start()
     for reader in readers:
         reader.join(60.0)
-    report.tell("long.whole", sum(whole), "values", f"=={READERS}")
-    report.tell("long.on_their_way", READERS * LONG / 2**20, "MB")
-    report.tell("long.peak", ingress.peak(), "MB", f"<={MEMORY}")
+    report.print_figure("long.whole", sum(whole), "values", f"=={READERS}")
+    report.print_figure("long.on_their_way", READERS * LONG / 2**20, "MB")
+    report.print_figure("long.peak", ingress.peak(), "MB", f"<={MEMORY}")
     ingress.end()
     for box in boxes:
         box.do("set", value=0)
@@ -239,8 +239,8 @@
                 used[ops] += ingress.cpu() - before
                 asked[ops] += len(callers.asked)
     on, off = (used[ops] / asked[ops] * 1000 for ops in (True, False))
-    report.tell("ops.cpu_a_request", on, "ms")
-    report.tell("ops.cpu_against_off", on / off, "times", "<=1.1")
+    report.print_figure("ops.cpu_a_request", on, "ms")
+    report.print_figure("ops.cpu_against_off", on / off, "times", "<=1.1")
 
 
 def main() -> int:
--- a/lab/bench_power.py
+++ b/lab/bench_power.py
@@ -92,8 +92,8 @@
                 load.stop()
             count = sum(sum(load.ends(since).values()) for load in callers)
             spent[name] = (after[name] - before[name]) / max(1, count)
-            report.tell(f"power.cpu-{name}", 1e6 * spent[name], "us-a-request")
-    report.tell("power.cpu-on-over-off", spent["on"] / spent["off"], "ratio", "<=1.05")
+            report.print_figure(f"power.cpu-{name}", 1e6 * spent[name], "us-a-request")
+    report.print_figure("power.cpu-on-over-off", spent["on"] / spent["off"], "ratio", "<=1.05")
 
 
 def disk(report: Report) -> None:
@@ -111,9 +111,9 @@
             held = max(held, time.monotonic() - at)
             time.sleep(0.25)
         took = time.monotonic() - began
-        report.tell("power.store.held", 1000 * held, "ms", "<=5")
-        report.tell("power.store.written", store.written / took / 1024, "KB-a-second")
-        report.tell("power.store.syncs", store.syncs / took, "a-second", "<=8")
+        report.print_figure("power.store.held", 1000 * held, "ms", "<=5")
+        report.print_figure("power.store.written", store.written / took / 1024, "KB-a-second")
+        report.print_figure("power.store.syncs", store.syncs / took, "a-second", "<=8")
         store.close()
         beat = Record(HEARTBEAT, "", 1, "b", 10.0)
         lines = b"".join(encode(row, whose) for row in [*rows, beat])
@@ -124,7 +124,9 @@
         found = select_trusted(
             reader.load().records.values(), BootClock("b", 10.5), {"plain": Plan(12.0, 4.0)}
         )
-        report.tell("power.store.read-back", time.monotonic() - at, f"s-for-{len(found.windows)}", "<=1")
+        report.print_figure(
+            "power.store.read-back", time.monotonic() - at, f"s-for-{len(found.windows)}", "<=1"
+        )
         reader.close()
 
 
@@ -136,15 +138,15 @@
             played = {store: pool.submit(play, store, seed) for store in (True, False)}
             for store, future in played.items():
                 case, prefix = future.result(), f"power.{'store' if store else 'none'}-{seed}"
-                report.tell(f"{prefix}.use", case.use, "of-allowance", "<=1.1" if store else "-")
-                report.tell(f"{prefix}.wrong-later", case.wrong_later, "of-inside")
+                report.print_figure(f"{prefix}.use", case.use, "of-allowance", "<=1.1" if store else "-")
+                report.print_figure(f"{prefix}.wrong-later", case.wrong_later, "of-inside")
                 for part in case.back:
                     bound = f"<={1.3 * case.best[part]:.1f}" if store and part == 90 else "-"
-                    report.tell(f"{prefix}.back-{part}", case.back[part], "s", bound)
-                    report.tell(f"{prefix}.best-{part}", case.best[part], "s")
-                report.tell(f"{prefix}.pushed", case.pushed, "of-a-fall", "<=1")
-                report.tell(f"{prefix}.unanswered", case.unanswered, "requests", "<=0")
-                report.tell(f"{prefix}.ran-twice", case.twice, "changes", "<=0")
+                    report.print_figure(f"{prefix}.back-{part}", case.back[part], "s", bound)
+                    report.print_figure(f"{prefix}.best-{part}", case.best[part], "s")
+                report.print_figure(f"{prefix}.pushed", case.pushed, "of-a-fall", "<=1")
+                report.print_figure(f"{prefix}.unanswered", case.unanswered, "requests", "<=0")
+                report.print_figure(f"{prefix}.ran-twice", case.twice, "changes", "<=0")
     disk(report)
     cost(report)
     return report.status
--- a/lab/bench_tls.py
+++ b/lab/bench_tls.py
@@ -179,11 +179,11 @@
                 resumed = line.split("resumed=")[1][0]
                 own[resumed].append(float(line.split("handshake=")[1].removesuffix("ms")))
         there = _by(seen["events"])
-        report.tell("handshake_full_ingress", statistics.median(own["0"]), "ms", "<=4")
-        report.tell("handshake_resumed_ingress", statistics.median(own["1"]), "ms", "<=2")
-        report.tell("handshake_full_box", statistics.median(there["full"]) * 1e3, "ms", "<=3")
-        report.tell("handshake_resumed_box", statistics.median(there["resumed"]) * 1e3, "ms", "<=2")
-        report.tell("resumed_share_sessions_kept", len(own["1"]) / 180, "share", ">=0.95")
+        report.print_figure("handshake_full_ingress", statistics.median(own["0"]), "ms", "<=4")
+        report.print_figure("handshake_resumed_ingress", statistics.median(own["1"]), "ms", "<=2")
+        report.print_figure("handshake_full_box", statistics.median(there["full"]) * 1e3, "ms", "<=3")
+        report.print_figure("handshake_resumed_box", statistics.median(there["resumed"]) * 1e3, "ms", "<=2")
+        report.print_figure("resumed_share_sessions_kept", len(own["1"]) / 180, "share", ">=0.95")
 
 
 def _by(events: list[tuple[float, str, float]]) -> dict[str, list[float]]:
@@ -223,11 +223,11 @@
                     cost[name].append((one.cpu() - before) / 240)
         # What else the machine does only ever adds: the low end of many turns is the cost itself.
         low = {name: statistics.quantiles(cost[name], n=10)[0] for name in cost}
-        report.tell("request_plain_ingress", low["plain"] * 1e6, "us")
-        report.tell("request_tls_ingress", low["tls"] * 1e6, "us")
-        report.tell("request_tls_over_plain", low["tls"] / low["plain"], "ratio", "<=1.15")
+        report.print_figure("request_plain_ingress", low["plain"] * 1e6, "us")
+        report.print_figure("request_tls_ingress", low["tls"] * 1e6, "us")
+        report.print_figure("request_tls_over_plain", low["tls"] / low["plain"], "ratio", "<=1.15")
         ratios = [one / other for other, one in zip(cost["plain"], cost["tls"], strict=True)]
-        report.tell("request_tls_over_plain_median_of_pairs", statistics.median(ratios), "ratio")
+        report.print_figure("request_tls_over_plain_median_of_pairs", statistics.median(ratios), "ratio")
 
 
 def cold(report: Report, ingresses: int, limit: str) -> tuple[float, float]:
@@ -270,16 +270,16 @@
         stats = {name: box.do("stats") for name, box in boxes.items()}
         worst = _worst(stats["s-0"]["events"], started)
         name = f"cold_{ingresses}_{'limited' if limit == 'on' else 'unlimited'}"
-        report.tell(f"{name}_worst_share", worst, "share", "<=0.25" if limit == "on" else "-")
-        report.tell(f"{name}_handshakes", _handshakes(stats["s-0"]["events"], started), "count")
+        report.print_figure(f"{name}_worst_share", worst, "share", "<=0.25" if limit == "on" else "-")
+        report.print_figure(f"{name}_handshakes", _handshakes(stats["s-0"]["events"], started), "count")
         after = _share_after(stats, started)
-        report.tell(f"{name}_own_share_after", after, "s")
+        report.print_figure(f"{name}_own_share_after", after, "s")
         lost = ends["lost"] + ends["failed"]
-        report.tell(f"{name}_requests", sum(ends.values()), "count")
-        report.tell(f"{name}_refused", ends["refused"], "count")
-        report.tell(f"{name}_lost_or_failed", lost, "count", "==0" if limit == "on" else "-")
+        report.print_figure(f"{name}_requests", sum(ends.values()), "count")
+        report.print_figure(f"{name}_refused", ends["refused"], "count")
+        report.print_figure(f"{name}_lost_or_failed", lost, "count", "==0" if limit == "on" else "-")
         twice = sum(count > 1 for seen in stats.values() for count in seen["changes"].values())
-        report.tell(f"{name}_ran_twice", twice, "count", "==0")
+        report.print_figure(f"{name}_ran_twice", twice, "count", "==0")
         return worst, after
 
 
@@ -344,11 +344,15 @@
         callers.stop()
         ends = callers.ends()
         stats = [box.do("stats") for box in boxes.values()]
-        report.tell("rotations_requests", sum(ends.values()), "count", ">=500")
-        report.tell("rotations_lost_or_failed", ends["lost"] + ends["failed"], "count", "==0")
-        report.tell("rotations_refused", ends["refused"], "count", "==0")
-        report.tell("rotations_handshakes", sum(seen["full"] + seen["resumed"] for seen in stats), "count")
-        report.tell("rotations_failed_handshakes", sum(seen["failed"] for seen in stats), "count", "==0")
+        report.print_figure("rotations_requests", sum(ends.values()), "count", ">=500")
+        report.print_figure("rotations_lost_or_failed", ends["lost"] + ends["failed"], "count", "==0")
+        report.print_figure("rotations_refused", ends["refused"], "count", "==0")
+        report.print_figure(
+            "rotations_handshakes", sum(seen["full"] + seen["resumed"] for seen in stats), "count"
+        )
+        report.print_figure(
+            "rotations_failed_handshakes", sum(seen["failed"] for seen in stats), "count", "==0"
+        )
 
 
 def main() -> int:
@@ -367,8 +371,10 @@
             (limited, after), (unlimited, before) = (
                 cold(report, ingresses, limit) for limit in ("on", "off")
             )
-            report.tell(f"cold_{ingresses}_limited_over_unlimited", limited / unlimited, "ratio", "<=1")
-            report.tell(f"cold_{ingresses}_own_share_later_by", after - before, "s", "<=2")
+            report.print_figure(
+                f"cold_{ingresses}_limited_over_unlimited", limited / unlimited, "ratio", "<=1"
+            )
+            report.print_figure(f"cold_{ingresses}_own_share_later_by", after - before, "s", "<=2")
     if wanted("rotations"):
         rotations(report)
     return report.status
--- a/lab/cold_start.py
+++ b/lab/cold_start.py
@@ -13,9 +13,10 @@
 
 from hoistfold import interface as i
 from lab.report import Report
-from lab.vast import CORES, WORK, Box, Fleet
+from lab.vast import CORE_SECONDS, CORES, Box, Fleet
 
-MEAN_WORK = 0.82 * WORK["view"] + 0.18 * WORK["change"]  # seconds of a core, of the mix that Fleet sends
+# For the mix of requests that Fleet sends.
+MEAN_CORE_SECONDS = 0.82 * CORE_SECONDS["view"] + 0.18 * CORE_SECONDS["change"]
 CALM, BURST = 0.5, 0.9  # of what the fleet can do
 COLD_PART = 0.4  # of the next hops are back cold at the beginning of the burst
 BEGIN = 6.0  # when the burst begins
@@ -46,7 +47,9 @@
     """Calm first; then some next hops are back cold, and the load is a stated part of what all can do."""
 
     def __init__(self, gateways: int, backends: int, seed: int = 1, load: float = BURST) -> None:
-        self.fleet = Fleet(gateways, backends, seed, rate=CALM * CORES * backends / gateways / MEAN_WORK)
+        self.fleet = Fleet(
+            gateways, backends, seed, rate=CALM * CORES * backends / gateways / MEAN_CORE_SECONDS
+        )
         self.load, self.random = load, random.Random(seed)
         self.settings = self.fleet.live[0].settings
         self.cold = [f"b{n}" for n in range(int(COLD_PART * backends))]
@@ -60,7 +63,7 @@
         before, requests = fleet.counts.copy(), fleet.requests
         self.restart()
         while fleet.now < end:
-            fleet.rate = self.load * self.able() / len(fleet.live) / MEAN_WORK
+            fleet.rate = self.load * self.able() / len(fleet.live) / MEAN_CORE_SECONDS
             fleet.run(fleet.now + STEP)
         counts, requests = fleet.counts - before, fleet.requests - requests
         cold = [fleet.boxes[name] for name in self.cold]
@@ -69,7 +72,7 @@
             worst=max(self.worst(box) for box in cold),
             refused=counts["refused for room"] / requests,
             late=counts["overdue"] / requests,
-            cold_late=sum(box.overdue for box in cold) / max(1, sum(len(box.got) for box in cold)),
+            cold_late=sum(box.overdue for box in cold) / max(1, sum(len(box.received) for box in cold)),
         )
 
     def drain(self) -> None:
@@ -98,7 +101,9 @@
     def allowed(self, box: Box, now: float) -> float:
         """N of the window that begins now."""
         s = self.settings
-        return s.fall_multiple * capacity(box, now, s.cold_from, s.cold_time) * s.fall_window / MEAN_WORK
+        return (
+            s.fall_multiple * capacity(box, now, s.cold_from, s.cold_time) * s.fall_window / MEAN_CORE_SECONDS
+        )
 
     def use(self, cold: list[Box]) -> float:
         """The mean over next hops and over windows that begin one after the other."""
@@ -107,14 +112,14 @@
         for box in cold:
             at = BEGIN + TOLD_WITHIN
             while at < last:
-                work = sum(work for when, work in box.got if at <= when < at + span)
-                shares.append(work / MEAN_WORK / self.allowed(box, at))
+                work = sum(work for when, work in box.received if at <= when < at + span)
+                shares.append(work / MEAN_CORE_SECONDS / self.allowed(box, at))
                 at += span / 4
         return sum(shares) / len(shares)
 
     def worst(self, box: Box) -> float:
         """The fullest of all windows that begin while it is cold, by what makes it fall."""
-        windows = box.windows(self.settings.fall_window, MEAN_WORK, BEGIN + self.settings.cold_time)
+        windows = box.windows(self.settings.fall_window, MEAN_CORE_SECONDS, BEGIN + self.settings.cold_time)
         bounds = ((work, self.allowed(box, at)) for at, work in windows if at >= BEGIN)
         return max((work / (n + 2 * math.sqrt(n) + 2) for work, n in bounds), default=0.0)
 
@@ -126,11 +131,11 @@
         for gateways, backends in SIZES:
             found = Burst(gateways, backends, load=load).play()
             name = f"cold.{gateways}x{backends}.at-{load:g}"
-            report.tell(f"{name}.use", found.use, "of-N")
-            report.tell(f"{name}.worst", found.worst, "of-N+2rootN+2", "<=1")
-            report.tell(f"{name}.refused", found.refused, "of-requests")
-            report.tell(f"{name}.late", found.late, "of-requests")
-            report.tell(f"{name}.cold-late", found.cold_late, "of-those-sent-to-cold-ones")
+            report.print_figure(f"{name}.use", found.use, "of-N")
+            report.print_figure(f"{name}.worst", found.worst, "of-N+2rootN+2", "<=1")
+            report.print_figure(f"{name}.refused", found.refused, "of-requests")
+            report.print_figure(f"{name}.late", found.late, "of-requests")
+            report.print_figure(f"{name}.cold-late", found.cold_late, "of-those-sent-to-cold-ones")
     return report.status
 
 
--- a/lab/counted.py
+++ b/lab/counted.py
@@ -89,7 +89,7 @@
         self.asked: dict[str, tuple[Customer, int]] = {}  # by request, and how many tries there were before
         self.customers = list(customers(chance, gateways, tries * gateways))
         self.weights = [customer.use * customer.plan.rate for customer in self.customers]
-        super().__init__(gateways, 2 * gateways, seed, tries, fast=50.0, **COUNTING)
+        super().__init__(gateways, 2 * gateways, seed, tries, speedup=50.0, **COUNTING)
 
     def request(self, number: int) -> tuple[int, i.RequestArrived]:
         """The next first try, of any customer, at a gateway of its set."""
@@ -113,7 +113,7 @@
             name, "view", customer.plan.name, customer.name, 4.5, 1.0, customer.size, customer.first
         )
 
-    def carry(self, number: int, actions: list[i.Action]) -> None:
+    def apply_actions(self, number: int, actions: list[i.Action]) -> None:
         """Carries out what a gateway decides, and judges it."""
         for action in actions:
             if isinstance(action, i.Count):
@@ -122,7 +122,7 @@
                 self.judge_sent(action)
             elif isinstance(action, i.Refuse):
                 self.judge_refused(action)
-        super().carry(number, actions)
+        super().apply_actions(number, actions)
 
     def judge_sent(self, action: i.Send) -> None:
         """The exact store tells whether an attempt was inside the quota."""
--- a/lab/report.py
+++ b/lab/report.py
@@ -14,7 +14,7 @@
     def __init__(self) -> None:
         self.status = 0
 
-    def tell(self, name: str, value: float, unit: str, bound: str = "-") -> None:
+    def print_figure(self, name: str, value: float, unit: str, bound: str = "-") -> None:
         """One figure. `bound` is a comparison such as `<=1.15`, or `-`: it is only told."""
         verdict = "holds"
         if bound != "-":
--- a/lab/tenants.py
+++ b/lab/tenants.py
@@ -95,7 +95,7 @@
         self.cut_off: set[int] = set()  # gateways that only hear each other
         self.received: dict[tuple[int, int], int] = {}  # messages by receiver and second
         self.changes: dict[str, Any] = {"peer_intake": intake, "plans": PLANS, "max_units": 1.0}
-        super().__init__(gateways, max(8, gateways), seed, rate=1.0, fast=100.0, **self.changes)
+        super().__init__(gateways, max(8, gateways), seed, rate=1.0, speedup=100.0, **self.changes)
         self.queue = [entry for entry in self.queue if entry[3] is not None]
         self.arrivals = random.Random(seed + 1)
         for plan in PLANS:
@@ -121,7 +121,7 @@
 
     def _post_arrival(self, tenant: Tenant) -> None:
         at = self.now + self.arrivals.expovariate(tenant.rate(self.now))
-        self.push(at, CLIENTS, i.RequestGone(tenant.name))
+        self.post_at(at, CLIENTS, i.RequestGone(tenant.name))
 
     def step(self, number: int, event: i.Event | None) -> None:
         """An arrival of a tenant's, or a gateway's own event."""
@@ -159,8 +159,8 @@
         self.queue = [entry for entry in self.queue if entry[2] != number]
         heapq.heapify(self.queue)
         self.live[number] = gateway
-        self.carry(number, gateway.handle(self.now, i.Started()))
-        self.tell_list(number, i.ListKind.SAVED)
+        self.apply_actions(number, gateway.handle(self.now, i.Started()))
+        self.send_backend_list(number, i.ListKind.SAVED)
 
     def deliver(self, sender: int, action: i.TellPeer) -> None:
         """A message, lost now and then on its way or past the receiver's intake."""
@@ -193,7 +193,7 @@
         if action.reason == "quota":
             self._judge(tenant, tenant.used(self.now), sent=False)
         if tries < RETRIES:
-            self.push(self.now + BACKOFF_SECONDS, CLIENTS, i.RequestGone(f"{tenant.name}/{tries + 1}"))
+            self.post_at(self.now + BACKOFF_SECONDS, CLIENTS, i.RequestGone(f"{tenant.name}/{tries + 1}"))
 
     def _judge(self, tenant: Tenant, used: float, sent: bool) -> None:
         outcome, plan = self.outcome, tenant.plan
--- a/lab/vast.py
+++ b/lab/vast.py
@@ -22,17 +22,17 @@
 VIEW = i.RequestClass("view", 1.2, 4.5, 1.0, 0.0, i.Effect.SAFE, i.Scope.ALL, 15.0, False, 0.0)
 CHANGE = i.RequestClass("change", 3.0, 9.0, 5.0, 0.2, i.Effect.UNSAFE, i.Scope.ALL, 15.0, False, 0.0)
 PLAN = i.Plan("full", 7.5, 16.0, 0, 1.8, 0.3, 0.0, 0.0, 0.0, 0.0)
-WORK = {"view": 0.15, "change": 0.37}  # seconds of a core
+CORE_SECONDS = {"view": 0.15, "change": 0.37}  # seconds of a core
 CORES = 2
-IDLE = 5.0  # seconds after which an idle connection is closed
-MESSAGE_DELAY = 0.01
-ROOMS = ("a", "b", "c")
+IDLE_SECONDS = 5.0  # seconds after which an idle connection is closed
+MESSAGE_DELAY_SECONDS = 0.01
+ZONES = ("a", "b", "c")
 
 
 def settings(number: int, gateways: int, **changes: Any) -> i.Settings:
     """What an ingress of such a fleet is told."""
     values: dict[str, Any] = {
-        "number": number, "gateways": gateways, "zone": ROOMS[number % 3], "tick": 0.001,
+        "number": number, "gateways": gateways, "zone": ZONES[number % 3], "tick": 0.001,
         "classes": (VIEW, CHANGE), "plans": (PLAN,), "pushed_discovery": True,
         "size_hint": i.SizeHint.NOMINAL, "feedback": i.Feedback.NONE, "report_fields": (),
         "may_cancel": True, "may_probe": True, "may_tell_peers": True, "second_copies": True,
@@ -51,25 +51,25 @@
 
     entry: i.BackendEntry
     slow: float = 1.0
-    free: list[float] = field(default_factory=lambda: [0.0] * CORES)
-    got: list[tuple[float, float]] = field(default_factory=list)  # when, and seconds of work sent to it
+    core_free_at: list[float] = field(default_factory=lambda: [0.0] * CORES)
+    received: list[tuple[float, float]] = field(default_factory=list)  # when, and seconds of work sent to it
     overdue: int = 0  # of these, answered after their aim or never
 
-    def serve(self, now: float, work: float, from_: float, span: float) -> float:
+    def serve(self, now: float, work: float, initial_speed: float, span: float) -> float:
         """When an answer comes; a cold one rises evenly from a part of its speed."""
         age = math.inf if self.entry.started is None else now - self.entry.started
-        speed = 1.0 if age >= span else from_ + (1 - from_) * max(0.0, age) / span
-        core = min(range(CORES), key=self.free.__getitem__)
-        self.free[core] = max(now, self.free[core]) + work * self.slow / speed
-        self.got.append((now, work))
-        return self.free[core]
+        speed = 1.0 if age >= span else initial_speed + (1 - initial_speed) * max(0.0, age) / span
+        core = min(range(CORES), key=self.core_free_at.__getitem__)
+        self.core_free_at[core] = max(now, self.core_free_at[core]) + work * self.slow / speed
+        self.received.append((now, work))
+        return self.core_free_at[core]
 
     def windows(self, span: float, mean: float, until: float) -> list[tuple[float, float]]:
         """For each send before a time: when, and the work sent from it on within a span, in mean requests."""
         found, work, end = [], 0.0, 0
-        for at, own in self.got:
-            while end < len(self.got) and self.got[end][0] < at + span:
-                work += self.got[end][1]
+        for at, own in self.received:
+            while end < len(self.received) and self.received[end][0] < at + span:
+                work += self.received[end][1]
                 end += 1
             if at < until:
                 found.append((at, work / mean))
@@ -86,44 +86,44 @@
         backends: int,
         seed: int = 1,
         rate: float = 12.0,
-        fast: float = 1.0,
+        speedup: float = 1.0,
         **changes: Any,
     ) -> None:
         """`changes`: of the settings, for each gateway."""
-        self.random, self.fast = random.Random(seed), fast  # fast: times the speed of the next hops
+        self.random, self.speedup = random.Random(seed), speedup  # a multiple of a backend's speed
         self.warm_up = 0.3, 11.0  # the part that a next hop does at its start, and when it does all
         self.rate = rate  # requests a second at each gateway
         self.now, self.serial, self.requests = 0.0, 0, 0
         self.queue: list[tuple[float, int, int, i.Event | None]] = []
         self.counts: Counter[str] = Counter()
-        self.spent = 0.0  # processor seconds in the modules
+        self.cpu_seconds = 0.0  # processor seconds in the modules
         self.idle: dict[tuple[int, str], list[float]] = {}
         self.sent: list[tuple[float, int, str]] = []
         self.taken: dict[int, tuple[int, int]] = {}
         self.boxes: dict[str, Box] = {}
         for n in range(backends):
-            self.add(f"b{n}", ROOMS[n % 3], None)
+            self.add(f"b{n}", ZONES[n % 3], None)
         self.live = [Gateway(settings(n, gateways, **changes), seed * 1000 + n) for n in range(gateways)]
         for number, gateway in enumerate(self.live):
-            self.carry(number, gateway.handle(0.0, i.Started()))
-            self.tell_list(number, i.ListKind.SAVED)
+            self.apply_actions(number, gateway.handle(0.0, i.Started()))
+            self.send_backend_list(number, i.ListKind.SAVED)
             self.post(self.random.expovariate(self.rate), number, None)
 
-    def add(self, name: str, room: str, started: float | None) -> None:
+    def add(self, name: str, zone: str, started: float | None) -> None:
         """A next hop, warm where it started long ago."""
-        entry = i.BackendEntry(name, room, "small-2c", 0, i.Availability.ACTIVE, 1.5, started)
+        entry = i.BackendEntry(name, zone, "small-2c", 0, i.Availability.ACTIVE, 1.5, started)
         self.boxes[name] = Box(entry)
 
-    def tell_list(self, number: int, kind: i.ListKind = i.ListKind.FULL) -> None:
+    def send_backend_list(self, number: int, kind: i.ListKind = i.ListKind.FULL) -> None:
         """The whole list, to one gateway."""
         entries = tuple(box.entry for box in self.boxes.values())
-        self.carry(number, self.live[number].handle(self.now, i.BackendsListed(kind, entries)))
+        self.apply_actions(number, self.live[number].handle(self.now, i.BackendsListed(kind, entries)))
 
     def post(self, delay: float, number: int, event: i.Event | None) -> None:
         """An event for a gateway after a while; None is its next request."""
-        self.push(self.now + delay, number, event)
+        self.post_at(self.now + delay, number, event)
 
-    def push(self, at: float, number: int, event: i.Event | None) -> None:
+    def post_at(self, at: float, number: int, event: i.Event | None) -> None:
         """The same at a time."""
         self.serial += 1
         heapq.heappush(self.queue, (at, self.serial, number, event))
@@ -141,8 +141,8 @@
             number, event = self.request(number)
         began = time.process_time()
         actions = self.live[number].handle(self.now, event)
-        self.spent += time.process_time() - began
-        self.carry(number, actions)
+        self.cpu_seconds += time.process_time() - began
+        self.apply_actions(number, actions)
 
     def request(self, number: int) -> tuple[int, i.RequestArrived]:
         """The next request at a gateway, of a customer whose set is half of the fleet."""
@@ -156,7 +156,7 @@
             f"r{self.requests}", kind.name, "full", customer, kind.deadline, 1.0, size, first
         )
 
-    def carry(self, number: int, actions: list[i.Action]) -> None:
+    def apply_actions(self, number: int, actions: list[i.Action]) -> None:
         """Carries out what a gateway decides."""
         for action in actions:
             if isinstance(action, i.Send):
@@ -185,7 +185,7 @@
         if taken > self.live[action.peer].settings.peer_intake:
             self.counts["lost"] += 1
         else:
-            self.post(MESSAGE_DELAY, action.peer, i.PeerMessage(sender, action.content))
+            self.post(MESSAGE_DELAY_SECONDS, action.peer, i.PeerMessage(sender, action.content))
 
     def send(self, number: int, action: i.Send) -> None:
         """An attempt, on an idle connection where there is one."""
@@ -199,7 +199,7 @@
         self.sent.append((self.now, number, action.backend))
         gateway = self.live[number]
         kind = gateway.requests[action.request].kind.name
-        work = self.random.expovariate(1 / WORK[kind]) / self.fast
+        work = self.random.expovariate(1 / CORE_SECONDS[kind]) / self.speedup
         done = self.boxes[action.backend].serve(self.now, work, *self.warm_up) + 0.002
         attempt = len(gateway.requests[action.request].attempts) - 1
         latency = done - self.now
@@ -211,11 +211,11 @@
         self.counts["overdue"] += overdue
         self.boxes[action.backend].overdue += overdue
         ended = i.AttemptEnded(action.request, action.backend, attempt, latency, outcome, True, 0.0, 0.0, ())
-        self.idle[key].append(self.now + latency + IDLE)
+        self.idle[key].append(self.now + latency + IDLE_SECONDS)
         self.post(latency, number, ended)
 
 
-def avoided_after(fleet: Fleet, name: str, since: float, span: float) -> float:
+def seconds_until_avoided(fleet: Fleet, name: str, since: float, span: float) -> float:
     """Seconds until nine in ten of those that use a next hop send it one request at most in three seconds."""
     users = {number for at, number, hop in fleet.sent if hop == name and since - 5.0 <= at < since}
     sent = [(at - since, number) for at, number, hop in fleet.sent if hop == name and at >= since]
@@ -237,24 +237,28 @@
         per = Counter(hop for _, hop in fleet.idle)  # ingresses that ever had a connection to it
         sharers = gateways * fleet.live[0].reach / backends
         requests, counts = fleet.requests, Counter(fleet.counts)
-        report.tell(f"{name}.dials", counts["dials"] / requests, "a-request", "<=0.15")
+        report.print_figure(f"{name}.dials", counts["dials"] / requests, "a-request", "<=0.15")
         bound = f"<={math.ceil(sharers) + 2}"
-        report.tell(f"{name}.connections", max(per.values()), "ingresses-a-next-hop", bound)
+        report.print_figure(f"{name}.connections", max(per.values()), "ingresses-a-next-hop", bound)
         told = counts["messages"] / gateways / 10.0
-        report.tell(f"{name}.messages", told, "a-second-to-each", "<=100")
-        report.tell(f"{name}.longest", counts["longest"], "bytes", "<=256")
-        report.tell(f"{name}.cpu", 1e6 * fleet.spent / requests, "us-a-request", "<=600")
-        report.tell(f"{name}.refused", counts["refused"] / requests, "of-requests", "<=0.02")
-        report.tell(f"{name}.lost", counts["lost"] / max(1, counts["messages"]), "of-messages", "<=0.01")
+        report.print_figure(f"{name}.messages", told, "a-second-to-each", "<=100")
+        report.print_figure(f"{name}.longest", counts["longest"], "bytes", "<=256")
+        report.print_figure(f"{name}.cpu", 1e6 * fleet.cpu_seconds / requests, "us-a-request", "<=600")
+        report.print_figure(f"{name}.refused", counts["refused"] / requests, "of-requests", "<=0.02")
+        report.print_figure(
+            f"{name}.lost", counts["lost"] / max(1, counts["messages"]), "of-messages", "<=0.01"
+        )
         fleet.boxes["b1"].slow = 20.0
         since = fleet.now
         fleet.run(since + 15.0)
-        report.tell(f"{name}.bad-avoided", avoided_after(fleet, "b1", since, 15.0), "s", "<=8")
+        report.print_figure(
+            f"{name}.bad-avoided", seconds_until_avoided(fleet, "b1", since, 15.0), "s", "<=8"
+        )
     for times in (3, 6):  # as many requests at next hops as fast: where messages give
-        fleet = Fleet(40, 60, rate=times * 8.7, fast=times)
+        fleet = Fleet(40, 60, rate=times * 8.7, speedup=times)
         fleet.run(6.0)
         lost = fleet.counts["lost"] / fleet.counts["messages"]
-        report.tell(f"vast.40x60.lost-at-{times * 8.7:.0f}-a-second", lost, "of-messages")
+        report.print_figure(f"vast.40x60.lost-at-{times * 8.7:.0f}-a-second", lost, "of-messages")
     return report.status
 
 
--- a/tests/test_vast.py
+++ b/tests/test_vast.py
@@ -74,7 +74,7 @@
         fleet.run(at)
         fleet.boxes["b1"].entry = replace(entry, **after)
         for number in range(gateways):
-            fleet.tell_list(number)
+            fleet.send_backend_list(number)
     fleet.run(16.0)
     assert users <= {number for at, number, hop in fleet.sent if hop == "b1" and at > 11.0}
 
@@ -110,14 +110,14 @@
         del fleet.boxes[f"b{n}"]
         fleet.add(f"new{n}", "abc"[n % 3], fleet.now)
     for number in range(gateways):
-        fleet.tell_list(number)
+        fleet.send_backend_list(number)
     fleet.run(14.0)
     cold = [box for name, box in fleet.boxes.items() if name.startswith("new")]
-    assert all(box.got for box in cold)  # none is left out either
+    assert all(box.received for box in cold)  # none is left out either
     for box in cold:
         assert box.entry.started is not None
-        for start in {at for at, _ in box.got}:
-            work = sum(work for at, work in box.got if start <= at < start + 3.0)
+        for start in {at for at, _ in box.received}:
+            work = sum(work for at, work in box.received if start <= at < start + 3.0)
             age = start - box.entry.started
             warmth = min(1.0, 0.15 + 0.85 * (age + 1.5) / 17.0)
             assert work <= 4.0 * CORES * warmth * 3.0 + 1.0  # and some slack for chance, as the rule has
@@ -126,7 +126,7 @@
 @pytest.mark.parametrize("gateways", [2, 10, 40, 100])
 def test_datagrams_keep_their_size_and_at_the_load_of_a_day_the_intake(gateways: int) -> None:
     """Past 26 requests a second at each of forty, what is asked is more than is taken in: see scale.md."""
-    fleet = Fleet(gateways, 20, rate=14.0, fast=2.0)
+    fleet = Fleet(gateways, 20, rate=14.0, speedup=2.0)
     fleet.run(8.0)
     assert 0 < fleet.counts["longest"] <= 252
     assert fleet.counts["messages"] / gateways / 8.0 <= 100.0
