--- a/lab/run_tests.py
+++ b/lab/run_tests.py
@@ -1,9 +1,9 @@
-"""Runs the test suite: all tests decide the verdict but those of KNOWN-RED.txt, which are played after them.
+"""Runs the test suite, then the known failures of KNOWN-RED.txt, which do not affect the exit status.
 
     python -m lab.run_tests [PYTEST ARGUMENT ...]
 
-The arguments go to the run that decides. The exit status is that run's, or 1 where the list is at fault. Each
-entry of the list is played by its own command and has no say in the verdict; a bench is printed only.
+The arguments are passed to the run without the known failures. The exit status is that of this run, or 1 if
+the list is invalid. Each entry of the list is run by its own command; a benchmark is only printed.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 import sys
 from pathlib import Path
 
-from lab.known_red import FILE_NAME, Kind, KnownRed, KnownRedError, absent, load
+from lab.known_red import FILE_NAME, Kind, KnownRed, KnownRedError, load, missing_targets
 
 PYTEST = (sys.executable, "-m", "pytest", "-q", "-p", "lab.known_red")
-KNOWN_RED_TIMEOUT_SECONDS = 120  # for one entry: it does not decide, so it may not hang
-SHOWN_LINES = 12  # of the output of an entry that fails
+KNOWN_RED_TIMEOUT_SECONDS = 120  # for one entry, so that a known failure can't hang the run
+SHOWN_OUTPUT_LINES = 12  # of a failing entry
 
 
 def _check_list(listed: list[KnownRed]) -> str:
-    """What is wrong with the list: a test that does not exist, in words; empty where nothing is."""
-    if missing := absent(Path.cwd(), listed):
+    """Describes listed tests that don't exist; empty if all do."""
+    if missing := missing_targets(Path.cwd(), listed):
         return f"{FILE_NAME}: no such test: {', '.join(missing)}"
     if all(entry.kind is not Kind.PYTEST for entry in listed):
         return ""
@@ -31,12 +31,12 @@
     return "" if collected.returncode == 0 else f"{collected.stdout}\n{collected.stderr}"
 
 
-def _play(entry: KnownRed) -> str:
-    """What came of an entry, in words."""
+def _run_entry(entry: KnownRed) -> str:
+    """Runs an entry and describes the result."""
     if entry.kind is Kind.BENCH:
-        return "not played by the gate: a bench"
+        return "not run: benchmarks are run by hand"
     try:
-        ran = subprocess.run(
+        finished = subprocess.run(
             entry.arguments(),
             timeout=KNOWN_RED_TIMEOUT_SECONDS,
             stdout=subprocess.PIPE,
@@ -47,35 +47,35 @@
     except subprocess.TimeoutExpired:
         return f"not finished after {KNOWN_RED_TIMEOUT_SECONDS} s"
     except OSError as error:
-        return f"could not be played: {error}"
-    if ran.returncode == 0:
+        return f"could not be started: {error}"
+    if finished.returncode == 0:
         return "passed this time"
-    shown = "\n".join(f"      {line}" for line in ran.stdout.splitlines()[-SHOWN_LINES:])
-    return f"still failing (status {ran.returncode})\n{shown}"
+    output_tail = "\n".join(f"      {line}" for line in finished.stdout.splitlines()[-SHOWN_OUTPUT_LINES:])
+    return f"still failing (status {finished.returncode})\n{output_tail}"
 
 
-def _play_known_red(listed: list[KnownRed]) -> None:
-    """Plays the entries and prints what was seen of each and what came of it now."""
-    print(f"\nKnown failures, passed over by the run above ({len(listed)}):")
+def _run_known_red(listed: list[KnownRed]) -> None:
+    """Runs the entries and prints the listed failure and the present result of each."""
+    print(f"\nKnown failures, excluded from the run above ({len(listed)}):")
     for entry in listed:
         print(f"  {entry.command} (issue {entry.issue})\n    seen: {entry.seen}", flush=True)
-        print(f"    now: {_play(entry)}", flush=True)
+        print(f"    now: {_run_entry(entry)}", flush=True)
 
 
 def main(arguments: list[str]) -> int:
-    """The exit status."""
+    """Returns the exit status."""
     try:
         listed = load(Path.cwd())
     except KnownRedError as error:
         print(error)
         return 1
-    if fault := _check_list(listed):
-        print(fault)
+    if error_text := _check_list(listed):
+        print(error_text)
         return 1
-    verdict = subprocess.run([*PYTEST, "--known-red", "exclude", *arguments], check=False).returncode
+    status = subprocess.run([*PYTEST, "--known-red", "exclude", *arguments], check=False).returncode
     if listed:
-        _play_known_red(listed)
-    return verdict
+        _run_known_red(listed)
+    return status
 
 
 if __name__ == "__main__":
