--- a/lab/fleetlog.py
+++ b/lab/fleetlog.py
@@ -37,7 +37,7 @@
     "hops": {"t": pl.Float64, "ingress": pl.String, "hop": pl.String, "name": pl.String, "number": pl.Int64},
     "suspicions": {"t": pl.Float64, "ingress": pl.String, "hop": pl.String, "why": pl.String},
     "again": {"t": pl.Float64, "ingress": pl.String, "hop": pl.String},
-    "lives": {"t": pl.Float64, "ingress": pl.String, "state": pl.String},
+    "process_states": {"t": pl.Float64, "ingress": pl.String, "state": pl.String},
     "views": {"t": pl.Float64, "ingress": pl.String, "place": pl.Int64, "state": pl.String},
 }  # fmt: skip
 
@@ -123,7 +123,7 @@
     elif (view := VIEW.match(text)) is not None:
         rows["views"].append((at, ingress, int(view[1]), view[2]))
     elif text.startswith(("starting ", "ready ", "stopping")):
-        rows["lives"].append((at, ingress, text.split()[0]))
+        rows["process_states"].append((at, ingress, text.split()[0]))
 
 
 def per_second(fleet: Fleet, width: int = 1) -> pl.DataFrame:
@@ -139,7 +139,7 @@
         ends.filter(pl.col("side") == "routes").select(
             "t", name=pl.lit("routes ") + _family(pl.col("reason"))
         ),
-        fleet.tables["lives"].select("t", name=pl.col("state")),
+        fleet.tables["process_states"].select("t", name=pl.col("state")),
         fleet.tables["suspicions"].select("t", name=pl.lit("suspect ") + pl.col("why")),
     ]
     return _spread(pl.concat(parts).with_columns(number=pl.lit(1, pl.Int64)), width)
@@ -175,7 +175,7 @@
         .alias(name)
         for name, word in (("starting", "starting"), ("up", "ready"))
     ]
-    return fleet.tables["lives"].sort("t").select("t", *steps)
+    return fleet.tables["process_states"].sort("t").select("t", *steps)
 
 
 def differing(fleet: Fleet) -> pl.DataFrame:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -358,7 +358,11 @@
         running.logged("stopped")
     (tmp_path / "n0.log").write_text(running.log)
     fleet = read_fleet(tmp_path)
-    assert [row["state"] for row in fleet.tables["lives"].to_dicts()] == ["starting", "ready", "stopping"]
+    assert [row["state"] for row in fleet.tables["process_states"].to_dicts()] == [
+        "starting",
+        "ready",
+        "stopping",
+    ]
     counts = Counter[str]()
     for row in fleet.tables["tallies"].to_dicts():  # an interval of the tally may end within the test
         counts[row["name"]] += row["number"]
