--- a/tests/test_fleetlog.py
+++ b/tests/test_fleetlog.py
@@ -1,4 +1,4 @@
-"""The reader of a fleet's logs, on logs whose sums are known."""
+"""Aggregation of a fleet's logs, on logs with known sums."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from lab.fleetlog import (
     LogError,
-    differing,
-    episodes,
-    hop_seconds,
+    connections_per_hop,
+    hop_totals,
     main,
-    per_hop,
+    membership_differences,
     per_second,
     read_fleet,
-    tallied,
-    ups,
+    starting_and_ready,
+    suspicion_episodes,
+    tally_totals,
 )
 
 N0 = """1796148000.000 starting n0
@@ -53,44 +53,52 @@
     assert (seconds[0]["starting"], seconds[0]["ready"], seconds[1]["starting"]) == (1, 1, 1)
     assert (seconds[2]["hop idle"], seconds[2]["hop connect_failed"], seconds[1]["hop broken"]) == (1, 1, 1)
     assert (seconds[4]["routes status:503"], seconds[3]["suspect connect_failed"]) == (1, 1)
-    assert tallied(fleet).to_dicts() == [{"second": 5, "branch.ok": 12, "dials.first": 5, "refused.room": 2}]
-    assert hop_seconds(fleet).to_dicts()[0] == {"second": 5, "hop": "s-1", "full": 1, "ok": 10, "open": 5}
-    assert [(row["starting"], row["up"]) for row in ups(fleet).to_dicts()] == [(1, 0), (0, 1), (1, 1)]
+    assert tally_totals(fleet).to_dicts() == [
+        {"second": 5, "branch.ok": 12, "dials.first": 5, "refused.room": 2}
+    ]
+    assert hop_totals(fleet).to_dicts()[0] == {"second": 5, "hop": "s-1", "full": 1, "ok": 10, "open": 5}
+    assert [(row["starting"], row["up"]) for row in starting_and_ready(fleet).to_dicts()] == [
+        (1, 0),
+        (0, 1),
+        (1, 1),
+    ]
     assert fleet.only("s-2").tables["ends"].is_empty()
-    assert len(hop_seconds(fleet.only("s-2"))) == 1
-    hop = per_hop(fleet).to_dicts()[0]
+    assert len(hop_totals(fleet.only("s-2"))) == 1
+    hop = connections_per_hop(fleet).to_dicts()[0]
     assert hop == {
         "hop": "s-1", "ingresses": 2, "connections": 3, "failed": 1, "served": 5, "unused": 0, "most_open": 2,
     }  # fmt: skip
 
 
-def test_who_noticed_first_and_who_was_wrong(tmp_path: Path) -> None:
-    late = N1 + "1796148030.000 module: backend s-2 suspected: no answer for 2.00 s\n"
-    late += "1796148031.000 module: backend s-2 answers again\n"
-    found = episodes(read_fleet(write(tmp_path, n0=N0, n1=late))).to_dicts()
+def test_first_suspicion_and_false_suspicions(tmp_path: Path) -> None:
+    log = N1 + "1796148030.000 module: backend s-2 suspected: no answer for 2.00 s\n"
+    log += "1796148031.000 module: backend s-2 answers again\n"
+    found = suspicion_episodes(read_fleet(write(tmp_path, n0=N0, n1=log))).to_dicts()
     assert [(e["hop"], e["first"], e["last"], e["ingresses"], e["wrong"]) for e in found] == [
-        ("s-1", 3.0, 5.5, 2, False),  # another one said so too
-        ("s-2", 3.5, 3.5, 1, False),  # said twice by one, never taken back
+        ("s-1", 3.0, 5.5, 2, False),  # a second ingress suspected it too
+        ("s-2", 3.5, 3.5, 1, False),  # twice by one ingress, never ended
         ("s-2", 30.0, 30.0, 1, True),
     ]
 
 
-def test_a_damaged_log_is_read_as_far_as_it_goes(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_readable_lines_of_a_damaged_log_are_used(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     write(
         tmp_path,
         n0=N0[:-30] + "1796148005.2 hops s-1 =ok: s-3=ok:x,",
         n1="\0\0\x1b garbage\n" + N1 + "1796148009.000 tally odd=x =3 dials.first=9999\n",
     )
     assert main([str(tmp_path), "--csv", str(tmp_path / "csv")]) == 0
-    told = capsys.readouterr().out
-    assert "damaged: n0.log: cut off in its last line" in told
-    assert "damaged: n1.log: 1 of 9 lines can't be read" in told
+    output = capsys.readouterr().out
+    assert "damaged: n0.log: cut off in its last line" in output
+    assert "damaged: n1.log: 1 of 9 lines can't be read" in output
     assert sorted(path.name for path in (tmp_path / "csv").iterdir()) == [
         "hop_seconds.csv", "hops.csv", "per_second.csv", "suspicions.csv", "tally.csv", "up.csv", "views.csv",
     ]  # fmt: skip
 
 
-def test_nothing_to_read_is_one_line_and_status_2(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_without_logs_it_prints_one_line_and_returns_2(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     for folder in (tmp_path, tmp_path / "missing"):
         assert main([str(folder)]) == 2
         assert capsys.readouterr().err.count("\n") == 1
@@ -99,21 +107,21 @@
         read_fleet(tmp_path)
 
 
-def test_it_tells_when_views_of_the_fleet_differed(tmp_path: Path) -> None:
+def test_periods_of_differing_membership(tmp_path: Path) -> None:
     line = "1796148{t:03}.000 fleet: {text}\n"
 
-    def log(place: int, *changes: tuple[int, str]) -> str:
-        own = line.format(t=0, text=f"this is place {place} of 3 in lab")
+    def log(member_id: int, *changes: tuple[int, str]) -> str:
+        own = line.format(t=0, text=f"this is place {member_id} of 3 in lab")
         return own + "".join(line.format(t=t, text=f"place {text}, 3 present") for t, text in changes)
 
-    heard = "unknown -> present (datagram received)"
+    alive = "unknown -> present (datagram received)"
     logs = {
         "n0": log(
-            0, (1, f"1: {heard}"), (2, f"2: {heard}"), (9, "2: suspected -> gone (suspicion timed out)")
+            0, (1, f"1: {alive}"), (2, f"2: {alive}"), (9, "2: suspected -> gone (suspicion timed out)")
         ),
-        "n1": log(1, (1, f"0: {heard}"), (3, f"2: {heard}"), (8, "2: suspected -> gone (reported by 0)")),
-        "n2": log(2, (2, f"0: {heard}"), (2, f"1: {heard}")),  # killed at 5: it says nothing more
+        "n1": log(1, (1, f"0: {alive}"), (3, f"2: {alive}"), (8, "2: suspected -> gone (reported by 0)")),
+        "n2": log(2, (2, f"0: {alive}"), (2, f"1: {alive}")),  # killed at 5, so it logs nothing more
     }
-    spans = differing(read_fleet(write(tmp_path, **logs))).rows()
+    spans = membership_differences(read_fleet(write(tmp_path, **logs))).rows()
     assert [(round(begin), round(end)) for begin, end, _ in spans[-2:]] == [(2, 3), (8, 9)]
     assert spans[-1][2] == "n0:3 n1:2 n2:3"
