--- a/lab/vast.py
+++ b/lab/vast.py
@@ -1,7 +1,7 @@
-"""A fleet of decision modules in simulated time: `make bench-vast`, and the properties in tests/test_vast.py.
+"""A fleet of gateways in simulated time: `make bench-vast`, and the properties in tests/test_vast.py.
 
-No sockets and no clock but the fleet's own. Next hops are modelled roughly (cores, a queue, cold starts,
-slow ones), enough to count what a fleet does to them. The same seed gives the same run.
+Uses no sockets and only simulated time. The model of a backend is rough (cores, a queue, cold starts, slow
+backends), but sufficient to count what a fleet sends to it. The same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 VIEW = i.RequestClass("view", 1.2, 4.5, 1.0, 0.0, i.Effect.SAFE, i.Scope.ALL, 15.0, False, 0.0)
 CHANGE = i.RequestClass("change", 3.0, 9.0, 5.0, 0.2, i.Effect.UNSAFE, i.Scope.ALL, 15.0, False, 0.0)
 PLAN = i.Plan("full", 7.5, 16.0, 0, 1.8, 0.3, 0.0, 0.0, 0.0, 0.0)
-CORE_SECONDS = {"view": 0.15, "change": 0.37}  # seconds of a core
+CORE_SECONDS = {"view": 0.15, "change": 0.37}  # of a request of each class
 CORES = 2
-IDLE_SECONDS = 5.0  # seconds after which an idle connection is closed
+IDLE_SECONDS = 5.0  # after which an idle connection is closed
 MESSAGE_DELAY_SECONDS = 0.01
 ZONES = ("a", "b", "c")
 
 
 def settings(number: int, gateways: int, **changes: Any) -> i.Settings:
-    """What an ingress of such a fleet is told."""
+    """The settings of one gateway of the fleet."""
     values: dict[str, Any] = {
         "number": number, "gateways": gateways, "zone": ZONES[number % 3], "tick": 0.001,
         "classes": (VIEW, CHANGE), "plans": (PLAN,), "pushed_discovery": True,
@@ -47,38 +47,38 @@
 
 @dataclass(slots=True)
 class Box:
-    """A next hop: how fast it is and when its cores are free again."""
+    """A backend: how slow it is and when its cores become free."""
 
     entry: i.BackendEntry
-    slow: float = 1.0
+    slow: float = 1.0  # multiple of the service time
     core_free_at: list[float] = field(default_factory=lambda: [0.0] * CORES)
-    received: list[tuple[float, float]] = field(default_factory=list)  # when, and seconds of work sent to it
-    overdue: int = 0  # of these, answered after their aim or never
+    received: list[tuple[float, float]] = field(default_factory=list)  # time, core seconds
+    overdue: int = 0  # requests answered after the latency target (aim) or never
 
-    def serve(self, now: float, work: float, initial_speed: float, span: float) -> float:
-        """When an answer comes; a cold one rises evenly from a part of its speed."""
+    def serve(self, now: float, work: float, initial_speed: float, cold_time: float) -> float:
+        """Returns the completion time; the speed of a cold backend rises linearly from `initial_speed`."""
         age = math.inf if self.entry.started is None else now - self.entry.started
-        speed = 1.0 if age >= span else initial_speed + (1 - initial_speed) * max(0.0, age) / span
+        speed = 1.0 if age >= cold_time else initial_speed + (1 - initial_speed) * max(0.0, age) / cold_time
         core = min(range(CORES), key=self.core_free_at.__getitem__)
         self.core_free_at[core] = max(now, self.core_free_at[core]) + work * self.slow / speed
         self.received.append((now, work))
         return self.core_free_at[core]
 
     def windows(self, span: float, mean: float, until: float) -> list[tuple[float, float]]:
-        """For each send before a time: when, and the work sent from it on within a span, in mean requests."""
-        found, work, end = [], 0.0, 0
-        for at, own in self.received:
+        """For each request before `until`: the time and the work within `span` from it, in mean requests."""
+        windows, work, end = [], 0.0, 0
+        for at, request_work in self.received:
             while end < len(self.received) and self.received[end][0] < at + span:
                 work += self.received[end][1]
                 end += 1
             if at < until:
-                found.append((at, work / mean))
-            work -= own
-        return found
+                windows.append((at, work / mean))
+            work -= request_work
+        return windows
 
 
 class Fleet:
-    """Gateways, their messages, their connections by count, and next hops."""
+    """Gateways with their peer messages and connections, and backends."""
 
     def __init__(
         self,
@@ -89,14 +89,17 @@
         speedup: float = 1.0,
         **changes: Any,
     ) -> None:
-        """`changes`: of the settings, for each gateway."""
-        self.random, self.speedup = random.Random(seed), speedup  # a multiple of a backend's speed
-        self.warm_up = 0.3, 11.0  # the part that a next hop does at its start, and when it does all
-        self.rate = rate  # requests a second at each gateway
+        """`changes`: settings that differ from the default, for all gateways."""
+        self.random, self.speedup = (
+            random.Random(seed),
+            speedup,
+        )  # `speedup` multiplies the speed of the backends
+        self.warm_up = 0.3, 11.0  # initial speed of a cold backend, and seconds until full speed
+        self.rate = rate  # requests per second at each gateway
         self.now, self.serial, self.requests = 0.0, 0, 0
         self.queue: list[tuple[float, int, int, i.Event | None]] = []
         self.counts: Counter[str] = Counter()
-        self.cpu_seconds = 0.0  # processor seconds in the modules
+        self.cpu_seconds = 0.0  # processor time spent in the gateways
         self.idle: dict[tuple[int, str], list[float]] = {}
         self.sent: list[tuple[float, int, str]] = []
         self.taken: dict[int, tuple[int, int]] = {}
@@ -110,33 +113,33 @@
             self.post(self.random.expovariate(self.rate), number, None)
 
     def add(self, name: str, zone: str, started: float | None) -> None:
-        """A next hop, warm where it started long ago."""
+        """Adds a backend, which is warm if it started long ago or `started` is None."""
         entry = i.BackendEntry(name, zone, "small-2c", 0, i.Availability.ACTIVE, 1.5, started)
         self.boxes[name] = Box(entry)
 
     def send_backend_list(self, number: int, kind: i.ListKind = i.ListKind.FULL) -> None:
-        """The whole list, to one gateway."""
+        """Sends the complete backend list to one gateway."""
         entries = tuple(box.entry for box in self.boxes.values())
         self.apply_actions(number, self.live[number].handle(self.now, i.BackendsListed(kind, entries)))
 
     def post(self, delay: float, number: int, event: i.Event | None) -> None:
-        """An event for a gateway after a while; None is its next request."""
+        """Schedules an event for a gateway after a delay; None is its next request."""
         self.post_at(self.now + delay, number, event)
 
     def post_at(self, at: float, number: int, event: i.Event | None) -> None:
-        """The same at a time."""
+        """Schedules an event for a gateway at a time; None is its next request."""
         self.serial += 1
         heapq.heappush(self.queue, (at, self.serial, number, event))
 
     def run(self, until: float) -> None:
-        """Plays the fleet up to a time."""
+        """Runs the fleet up to a time."""
         while self.queue and self.queue[0][0] <= until:
             self.now, _, number, event = heapq.heappop(self.queue)
             self.step(number, event)
         self.now = until
 
     def step(self, number: int, event: i.Event | None) -> None:
-        """One event of a gateway; None is its next request."""
+        """Handles one event of a gateway; None is its next request."""
         if event is None:
             number, event = self.request(number)
         began = time.process_time()
@@ -145,19 +148,19 @@
         self.apply_actions(number, actions)
 
     def request(self, number: int) -> tuple[int, i.RequestArrived]:
-        """The next request at a gateway, of a customer whose set is half of the fleet."""
+        """The next request at a gateway, of a tenant whose set of gateways is half of the fleet."""
         self.post(self.random.expovariate(self.rate), number, None)
         self.requests += 1
         size = max(1, len(self.live) // 2)
         first = (number - self.random.randrange(size)) % len(self.live)
         kind = CHANGE if self.random.random() < 0.18 else VIEW
-        customer = f"c{first}-{self.random.randrange(8)}"
+        tenant = f"c{first}-{self.random.randrange(8)}"
         return number, i.RequestArrived(
-            f"r{self.requests}", kind.name, "full", customer, kind.deadline, 1.0, size, first
+            f"r{self.requests}", kind.name, "full", tenant, kind.deadline, 1.0, size, first
         )
 
     def apply_actions(self, number: int, actions: list[i.Action]) -> None:
-        """Carries out what a gateway decides."""
+        """Carries out the actions of a gateway."""
         for action in actions:
             if isinstance(action, i.Send):
                 self.send(number, action)
@@ -174,10 +177,10 @@
                 self.refuse(number, action)
 
     def refuse(self, number: int, action: i.Refuse) -> None:
-        """A request was refused; here clients do not come again."""
+        """Called when a request is refused; clients don't retry here."""
 
     def deliver(self, sender: int, action: i.TellPeer) -> None:
-        """A message to one gateway, which takes in so many in a second and loses the rest."""
+        """Delivers a message to a gateway, which drops messages beyond its intake per second."""
         assert action.peer is not None
         second, taken = self.taken.get(action.peer, (0, 0))
         taken = taken + 1 if second == int(self.now) else 1
@@ -188,7 +191,7 @@
             self.post(MESSAGE_DELAY_SECONDS, action.peer, i.PeerMessage(sender, action.content))
 
     def send(self, number: int, action: i.Send) -> None:
-        """An attempt, on an idle connection where there is one."""
+        """Starts an attempt, on an idle connection if there is one."""
         key = (number, action.backend)
         ready = [until for until in self.idle.get(key, []) if until >= self.now]
         if ready:
@@ -216,7 +219,7 @@
 
 
 def seconds_until_avoided(fleet: Fleet, name: str, since: float, span: float) -> float:
-    """Seconds until nine in ten of those that use a next hop send it one request at most in three seconds."""
+    """Seconds until 90% of the gateways that use a backend send it at most one request in three seconds."""
     users = {number for at, number, hop in fleet.sent if hop == name and since - 5.0 <= at < since}
     sent = [(at - since, number) for at, number, hop in fleet.sent if hop == name and at >= since]
     for second in range(int(span) - 3):
@@ -227,21 +230,21 @@
 
 
 def bench() -> int:
-    """`make bench-vast`: sizes from 3 to 100 in simulated time, each line with its bound."""
+    """`make bench-vast`: fleets of 3 to 100 gateways in simulated time, each figure with its bound."""
     report = Report()
     for gateways, backends in ((3, 10), (10, 20), (40, 60), (100, 150)):
-        rate = 0.55 * CORES * backends / gateways / 0.19  # 55% busy
+        rate = 0.55 * CORES * backends / gateways / 0.19  # 55% utilisation
         fleet = Fleet(gateways, backends, rate=rate)
         fleet.run(10.0)
         name = f"vast.{gateways}x{backends}"
-        per = Counter(hop for _, hop in fleet.idle)  # ingresses that ever had a connection to it
-        sharers = gateways * fleet.live[0].reach / backends
+        users = Counter(hop for _, hop in fleet.idle)  # gateways that ever had a connection to a backend
+        users_expected = gateways * fleet.live[0].reach / backends
         requests, counts = fleet.requests, Counter(fleet.counts)
         report.print_figure(f"{name}.dials", counts["dials"] / requests, "a-request", "<=0.15")
-        bound = f"<={math.ceil(sharers) + 2}"
-        report.print_figure(f"{name}.connections", max(per.values()), "ingresses-a-next-hop", bound)
-        told = counts["messages"] / gateways / 10.0
-        report.print_figure(f"{name}.messages", told, "a-second-to-each", "<=100")
+        bound = f"<={math.ceil(users_expected) + 2}"
+        report.print_figure(f"{name}.connections", max(users.values()), "ingresses-a-next-hop", bound)
+        message_rate = counts["messages"] / gateways / 10.0
+        report.print_figure(f"{name}.messages", message_rate, "a-second-to-each", "<=100")
         report.print_figure(f"{name}.longest", counts["longest"], "bytes", "<=256")
         report.print_figure(f"{name}.cpu", 1e6 * fleet.cpu_seconds / requests, "us-a-request", "<=600")
         report.print_figure(f"{name}.refused", counts["refused"] / requests, "of-requests", "<=0.02")
@@ -254,11 +257,11 @@
         report.print_figure(
             f"{name}.bad-avoided", seconds_until_avoided(fleet, "b1", since, 15.0), "s", "<=8"
         )
-    for times in (3, 6):  # as many requests at next hops as fast: where messages give
-        fleet = Fleet(40, 60, rate=times * 8.7, speedup=times)
+    for factor in (3, 6):  # more requests at faster backends: where peer messages are lost
+        fleet = Fleet(40, 60, rate=factor * 8.7, speedup=factor)
         fleet.run(6.0)
         lost = fleet.counts["lost"] / fleet.counts["messages"]
-        report.print_figure(f"vast.40x60.lost-at-{times * 8.7:.0f}-a-second", lost, "of-messages")
+        report.print_figure(f"vast.40x60.lost-at-{factor * 8.7:.0f}-a-second", lost, "of-messages")
     return report.status
 
 
