--- a/lab/bench_ops.py
+++ b/lab/bench_ops.py
@@ -1,7 +1,7 @@
-"""The measurement of running an ingress day by day: `make bench-ops`. See docs/design/operations.md.
+"""The benchmark of operating an ingress: `make bench-ops`. See docs/design/operations.md.
 
-Real ingress processes, boxes and callers on loopback. The ingress is asked, drained, upgraded and worked on
-under load; every caller's answer is noted.
+Real ingress processes, boxes and callers on loopback. The ingress answers operators' calls, is drained and
+upgraded, and has next hops excluded by hand, all under load; the answers to all callers are recorded.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 from lab.processes import ROOT, BoxProcess, Ingress
 from lab.report import Report
 
-BOXES = 3
-RATE = 250.0  # requests a second
-HOLDERS = 50  # connections to the operators' address that say half a call
+BOX_COUNT = 3
+REQUESTS_PER_SECOND = 250.0
+INCOMPLETE_OPS_CALLS = 50  # connections to the operators' address that send only part of a call
 UPGRADES = DRAINS = 10
-MEMORY = 64  # megabytes that the ingress may take in the run with long values
-READERS = 12  # callers of long values at once, each slow
-LONG = 4 * 1024 * 1024 - 64
-PAIRS = 4  # runs with and without the operators' address, in turn
-SPELL = 3.0  # seconds of each
+MEMORY_LIMIT_MB = 64  # limit of the ingress, checked in the run with long values
+SLOW_READERS = 12  # concurrent slow callers of long values
+LONG_VALUE_BYTES = 4 * 1024 * 1024 - 64
+COST_ROUNDS = 4  # alternating runs with and without the operators' address
+COST_ROUND_SECONDS = 3.0
 
 
-class Place:
-    """One ingress's configuration, its boxes and its listening socket, which outlives its processes."""
+class IngressSetup:
+    """The configuration of an ingress, with the listening socket that its processes share."""
 
     def __init__(self, folder: Path, boxes: list[BoxProcess], passed: bool, ops: bool = True) -> None:
         self.folder, self.ops = folder, ops
-        self.door = socket.create_server(("127.0.0.1", 0), backlog=1024) if passed else None
+        self.listener = socket.create_server(("127.0.0.1", 0), backlog=1024) if passed else None
         raw: dict[str, Any] = json.loads((ROOT / "deploy" / "example.json").read_text())
         settings = raw["settings"]
         for kind, name in zip(settings["Classes"], ("look", "change"), strict=True):
@@ -48,25 +48,25 @@
             member | {"id": f"s-{n}", "host_port": "{}:{}".format(*box.address)}
             for n, box in enumerate(boxes)
         ]
-        raw |= {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "limits": {"memory_mb": MEMORY}}
+        raw |= {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "limits": {"memory_mb": MEMORY_LIMIT_MB}}
         (folder / "config.json").write_text(json.dumps(raw))
 
     def start(self) -> Ingress:
-        """One process, ready to serve."""
+        """Starts a process and waits until it is ready."""
         environment = {"EDGE_CONFIG": f"{self.folder / 'config.json'}", "TMPDIR": f"{self.folder}"}
         if self.ops:
             environment["EDGE_OPS"] = "127.0.0.1:0"
         passed: tuple[int, ...] = ()
-        if self.door is not None:
-            passed = (self.door.fileno(),)
-            environment["EDGE_PASSED_SOCKET"] = f"{self.door.fileno()}"
+        if self.listener is not None:
+            passed = (self.listener.fileno(),)
+            environment["EDGE_PASSED_SOCKET"] = f"{self.listener.fileno()}"
         ingress = Ingress(None, passed, environment)
         ingress.address()
         return ingress
 
 
-def call(ingress: Ingress, method: str, path: str) -> tuple[int, str, float]:
-    """One operators' call: the status, the text, and the seconds that it took."""
+def ops_call(ingress: Ingress, method: str, path: str) -> tuple[int, str, float]:
+    """Makes an operators' call; returns the status, the body and the seconds that it took."""
     match = ingress.logged(r"ops \S+ on ([\d.]+):(\d+)")
     began = time.monotonic()
     with socket.create_connection((match[1], int(match[2])), 10.0) as sock:
@@ -78,15 +78,17 @@
     return int(head.split()[1]), body.decode(), time.monotonic() - began
 
 
-def figure(ingress: Ingress, name: str) -> int:
-    """One of the figures."""
-    text = call(ingress, "GET", "/api/telemetry")[1]
+def ops_figure(ingress: Ingress, name: str) -> int:
+    """Reads one of the telemetry figures."""
+    text = ops_call(ingress, "GET", "/api/telemetry")[1]
     return int(dict(line.split("=") for line in text.split())[name])
 
 
 @contextmanager
-def loaded(address: tuple[str, int], rate: float = RATE, connections: int = 16) -> Iterator[Callers]:
-    """Callers who ask all the while."""
+def under_load(
+    address: tuple[str, int], rate: float = REQUESTS_PER_SECOND, connections: int = 16
+) -> Iterator[Callers]:
+    """Callers that send requests inside the context."""
     callers = Callers(address, rate, 0, connections=connections)
     callers.start()
     try:
@@ -95,95 +97,95 @@
         callers.stop()
 
 
-def answers(report: Report, place: Place) -> None:
-    """The slowest operators' answer under full load, beside connections that say nothing whole."""
-    ingress, held = place.start(), list[socket.socket]()
+def measure_ops_answers(report: Report, setup: IngressSetup) -> None:
+    """The slowest operators' answer under full load, with other connections that send incomplete calls."""
+    ingress, incomplete_calls = setup.start(), list[socket.socket]()
     match = ingress.logged(r"ops \S+ on ([\d.]+):(\d+)")
-    with loaded(ingress.address(), rate=4 * RATE, connections=48):
+    with under_load(ingress.address(), rate=4 * REQUESTS_PER_SECOND, connections=48):
         slowest, wrong = 0.0, 0
         end = time.monotonic() + 8.0
         while time.monotonic() < end:
-            while len(held) < HOLDERS:
+            while len(incomplete_calls) < INCOMPLETE_OPS_CALLS:
                 sock = socket.create_connection((match[1], int(match[2])), 10.0)
                 sock.sendall(b"POST /api/evacu")
-                held.append(sock)
+                incomplete_calls.append(sock)
             for path in ("/api/ready", "/api/telemetry"):
-                status, _, took = call(ingress, "GET", path)
+                status, _, took = ops_call(ingress, "GET", path)
                 slowest, wrong = max(slowest, took), wrong + (status != 200)
-            held.pop(0).close()
+            incomplete_calls.pop(0).close()
             time.sleep(0.05)
-    for sock in held:
+    for sock in incomplete_calls:
         sock.close()
     ingress.end()
     report.print_figure("ops.slowest_answer", slowest, "s", "<=1")
     report.print_figure("ops.wrong_answers", wrong, "calls", "==0")
 
 
-def upgrades(report: Report, place: Place) -> None:
+def measure_upgrades(report: Report, setup: IngressSetup) -> None:
     """Requests lost over ten upgrades and ten drains."""
-    assert place.door is not None
-    ingress = place.start()
-    with loaded(place.door.getsockname()) as callers:
-        slowest = leaves = 0.0
+    assert setup.listener is not None
+    ingress = setup.start()
+    with under_load(setup.listener.getsockname()) as callers:
+        slowest_ready = slowest_exit = 0.0
         for _ in range(UPGRADES):
             time.sleep(0.3)
             began = time.monotonic()
-            newer = place.start()
-            slowest, began = max(slowest, time.monotonic() - began), time.monotonic()
+            newer = setup.start()
+            slowest_ready, began = max(slowest_ready, time.monotonic() - began), time.monotonic()
             ingress.end()
-            leaves, ingress = max(leaves, time.monotonic() - began), newer
-    ends, again = callers.ends(), sum(one.again for one in callers.asked)
+            slowest_exit, ingress = max(slowest_exit, time.monotonic() - began), newer
+    ends, retried = callers.ends(), sum(one.again for one in callers.asked)
     report.print_figure("upgrade.requests", sum(ends.values()), "requests")
     report.print_figure("upgrade.lost", ends["lost"], "requests", "==0")
     report.print_figure("upgrade.failed", ends["failed"], "requests", "==0")
-    report.print_figure("upgrade.sent_once_more", again, "requests")
-    report.print_figure("upgrade.slowest_yes", slowest, "s", "<=6")
-    report.print_figure("upgrade.slowest_leave", leaves, "s", "<=3.7")
-    with loaded(place.door.getsockname()) as callers:
-        emptied = 0.0
+    report.print_figure("upgrade.sent_once_more", retried, "requests")
+    report.print_figure("upgrade.slowest_yes", slowest_ready, "s", "<=6")
+    report.print_figure("upgrade.slowest_leave", slowest_exit, "s", "<=3.7")
+    with under_load(setup.listener.getsockname()) as callers:
+        drain_seconds = 0.0
         for _ in range(DRAINS):
             time.sleep(0.3)
             began = time.monotonic()
-            call(ingress, "POST", "/api/evacuate")
+            ops_call(ingress, "POST", "/api/evacuate")
             time.sleep(1.7)
-            # the callers here ask no front, and come back: each connection lives for one request
-            emptied = max(emptied, time.monotonic() - began)
-            call(ingress, "POST", "/api/rejoin")
-    ends, again = callers.ends(), sum(one.again for one in callers.asked)
+            # the callers use no load balancer and reconnect at once; each connection has one request
+            drain_seconds = max(drain_seconds, time.monotonic() - began)
+            ops_call(ingress, "POST", "/api/rejoin")
+    ends, retried = callers.ends(), sum(one.again for one in callers.asked)
     report.print_figure("drain.requests", sum(ends.values()), "requests")
     report.print_figure("drain.lost", ends["lost"], "requests", "==0")
     report.print_figure("drain.failed", ends["failed"], "requests", "==0")
-    report.print_figure("drain.sent_once_more", again, "requests")
+    report.print_figure("drain.sent_once_more", retried, "requests")
     ingress.end()
 
 
-def by_hand(report: Report, place: Place, boxes: list[BoxProcess]) -> None:
-    """From a call out to the last new send, and from a call back to the first."""
-    ingress = place.start()
-    with loaded(ingress.address()):
+def measure_manual_exclusion(report: Report, setup: IngressSetup, boxes: list[BoxProcess]) -> None:
+    """Seconds from excluding a next hop to the last new send, and from including it to the first."""
+    ingress = setup.start()
+    with under_load(ingress.address()):
         time.sleep(1.0)
-        call(ingress, "POST", "/api/exclude/s-0")
-        out = time.time()
+        ops_call(ingress, "POST", "/api/exclude/s-0")
+        excluded_at = time.time()
         time.sleep(2.0)
         boxes[0].do("restart")
-        call(ingress, "POST", "/api/include/s-0")
-        back = time.time()
+        ops_call(ingress, "POST", "/api/include/s-0")
+        included_at = time.time()
         time.sleep(5.5)
     ingress.end()
     sent = [at for at, what, _ in boxes[0].do("stats")["events"] if what == "request"]
-    last = max((at for at in sent if at < back), default=out)
-    first = min((at for at in sent if at >= back), default=back + 100)
-    report.print_figure("hand.sends_before", sum(at < out for at in sent), "sends", ">=1")
-    report.print_figure("hand.last_send_after_out", last - out, "s", "<=0.5")
-    report.print_figure("hand.first_send_after_back", first - back, "s", "<=5")
+    last = max((at for at in sent if at < included_at), default=excluded_at)
+    first = min((at for at in sent if at >= included_at), default=included_at + 100)
+    report.print_figure("hand.sends_before", sum(at < excluded_at for at in sent), "sends", ">=1")
+    report.print_figure("hand.last_send_after_out", last - excluded_at, "s", "<=0.5")
+    report.print_figure("hand.first_send_after_back", first - included_at, "s", "<=5")
 
 
-def long_values(report: Report, place: Place, boxes: list[BoxProcess]) -> None:
-    """Peak memory with values of 4 MiB to slow readers, more at once than memory holds."""
-    ingress = place.start()
+def measure_long_values(report: Report, setup: IngressSetup, boxes: list[BoxProcess]) -> None:
+    """Peak memory with values of 4 MiB to slow readers, in total more than the memory limit."""
+    ingress = setup.start()
     for box in boxes:
-        box.do("set", value=LONG)
-    address, whole = ingress.address(), list[bool]()
+        box.do("set", value=LONG_VALUE_BYTES)
+    address, complete = ingress.address(), list[bool]()
 
     def read_slowly(number: int) -> None:
         parts = [
@@ -198,26 +200,26 @@
             sock.sendall(command(parts))
             while data := sock.recv(65536):
                 size += len(data)
-                if data.endswith(b"\r\n") and size > LONG:
+                if data.endswith(b"\r\n") and size > LONG_VALUE_BYTES:
                     break
                 time.sleep(0.03)
-        whole.append(size == LONG + len(b"$%d\r\n\r\n" % LONG))
+        complete.append(size == LONG_VALUE_BYTES + len(b"$%d\r\n\r\n" % LONG_VALUE_BYTES))
 
-    readers = [threading.Thread(target=read_slowly, args=(n,)) for n in range(READERS)]
+    readers = [threading.Thread(target=read_slowly, args=(n,)) for n in range(SLOW_READERS)]
     for reader in readers:
         reader.start()
     for reader in readers:
         reader.join(60.0)
-    report.print_figure("long.whole", sum(whole), "values", f"=={READERS}")
-    report.print_figure("long.on_their_way", READERS * LONG / 2**20, "MB")
-    report.print_figure("long.peak", ingress.peak(), "MB", f"<={MEMORY}")
+    report.print_figure("long.whole", sum(complete), "values", f"=={SLOW_READERS}")
+    report.print_figure("long.on_their_way", SLOW_READERS * LONG_VALUE_BYTES / 2**20, "MB")
+    report.print_figure("long.peak", ingress.peak(), "MB", f"<={MEMORY_LIMIT_MB}")
     ingress.end()
     for box in boxes:
         box.do("set", value=0)
 
 
-def cost(report: Report, folder: Path, boxes: list[BoxProcess]) -> None:
-    """Processor time a request with the operators' address, and figures fetched, against without."""
+def measure_cost(report: Report, folder: Path, boxes: list[BoxProcess]) -> None:
+    """Processor time per request with the operators' address, fetching figures, and without it."""
     used: dict[bool, float] = {True: 0.0, False: 0.0}
     asked: dict[bool, int] = {True: 0, False: 0}
     with ExitStack() as stack:
@@ -225,16 +227,16 @@
         for ops in (True, False):
             inner = folder / f"{ops}"
             inner.mkdir()
-            running[ops] = Place(inner, boxes, passed=False, ops=ops).start()
+            running[ops] = IngressSetup(inner, boxes, passed=False, ops=ops).start()
             stack.callback(running[ops].end)
-        for _ in range(PAIRS):
+        for _ in range(COST_ROUNDS):
             for ops, ingress in running.items():
                 before = ingress.cpu()
-                with loaded(ingress.address()) as callers:
-                    end = time.monotonic() + SPELL
+                with under_load(ingress.address()) as callers:
+                    end = time.monotonic() + COST_ROUND_SECONDS
                     while time.monotonic() < end:
                         if ops:
-                            call(ingress, "GET", "/api/telemetry")
+                            ops_call(ingress, "GET", "/api/telemetry")
                         time.sleep(0.5)
                 used[ops] += ingress.cpu() - before
                 asked[ops] += len(callers.asked)
@@ -244,23 +246,23 @@
 
 
 def main() -> int:
-    """All parts; 1 where a bound fails."""
+    """Runs all parts; returns 1 if a bound fails."""
     report = Report()
     with tempfile.TemporaryDirectory() as name, ExitStack() as stack:
-        boxes = [BoxProcess() for _ in range(BOXES)]
+        boxes = [BoxProcess() for _ in range(BOX_COUNT)]
         for box in boxes:
             stack.callback(box.end)
             box.do("set", work=0.0005, delay=0.01)
-        places = {}
+        setups = {}
         for part in ("answers", "upgrades", "hand", "long"):
             folder = Path(name) / part
             folder.mkdir()
-            places[part] = Place(folder, boxes, passed=part == "upgrades")
-        answers(report, places["answers"])
-        upgrades(report, places["upgrades"])
-        by_hand(report, places["hand"], boxes)
-        long_values(report, places["long"], boxes)
-        cost(report, Path(name), boxes)
+            setups[part] = IngressSetup(folder, boxes, passed=part == "upgrades")
+        measure_ops_answers(report, setups["answers"])
+        measure_upgrades(report, setups["upgrades"])
+        measure_manual_exclusion(report, setups["hand"], boxes)
+        measure_long_values(report, setups["long"], boxes)
+        measure_cost(report, Path(name), boxes)
     return report.status
 
 
