--- a/lab/bench_counter.py
+++ b/lab/bench_counter.py
@@ -39,7 +39,7 @@
 INGRESSES = 3
 PLAN_RATE, PLAN_BURST = 4.0, 12.0
 SPAN_SECONDS = 26.0  # for which tenants send requests
-FAILURE_AT_SECONDS = 12.0  # the failure begins when few calls are made (modes.CROSS_CHECK_SHARE)
+FAILURE_AT_SECONDS = 12.0  # of the failure: by then few calls are made (modes.CROSS_CHECK_SHARE)
 INGRESS_WEIGHTS = (0.5, 0.3, 0.2)  # share of a tenant's requests through each ingress
 PARALLEL_CASES = 6
 COUNTER_PARTS = 2
@@ -162,9 +162,8 @@
     for tenant, part in kinds + [(f"calm{n}", 0.3) for n in range(6)]:
         at = 0.0
         while (at := at + rng.expovariate(part * PLAN_RATE)) < SPAN_SECONDS:
-            when = (
-                at - at % 3 + (at % 3) / 3 if tenant.startswith("spiky") else at
-            )  # in one second out of three
+            # spiky tenants send their requests of three seconds within the first of them
+            when = at - at % 3 + (at % 3) / 3 if tenant.startswith("spiky") else at
             arrivals[rng.choices(range(INGRESSES), INGRESS_WEIGHTS)[0]].append((when, tenant))
     return [sorted(one) for one in arrivals]
 
--- a/lab/bench_fleet.py
+++ b/lab/bench_fleet.py
@@ -42,10 +42,10 @@
     twice: int
 
 
-def run_case(name: str, view: bool) -> Case:
+def run_case(name: str, enabled: bool) -> Case:
     """Runs a case with five ingresses under load."""
     text, span = CASES[name]
-    with Site(5, view, seed=4) as site:
+    with Site(5, enabled, seed=4) as site:
         time.sleep(1.0)
         site.run(schedule.read(text, 5), span)
         table = record(site)
@@ -144,16 +144,18 @@
         simulated_runs = {size: pool.submit(simulated_times, size) for size in (3, 20, 100, 200)}
         false_positive_runs = [pool.submit(false_positives, 200, 600.0, seed) for seed in range(3)]
         case_runs = {
-            (name, view): pool.submit(run_case, name, view) for name in CASES for view in (False, True)
+            (name, enabled): pool.submit(run_case, name, enabled)
+            for name in CASES
+            for enabled in (False, True)
         }
-        for (name, view), future in case_runs.items():
-            case, prefix = future.result(), f"fleet.{name}.{'on' if view else 'off'}"
-            report.print_figure(f"{prefix}.use", case.use, "of-allowance", "<=1.1" if view else "-")
+        for (name, enabled), future in case_runs.items():
+            case, prefix = future.result(), f"fleet.{name}.{'on' if enabled else 'off'}"
+            report.print_figure(f"{prefix}.use", case.use, "of-allowance", "<=1.1" if enabled else "-")
             # the smaller side of a cut has to refuse requests; only the larger side has a bound
-            bound = "<=0.02" if view and not name.startswith("cut") else "-"
+            bound = "<=0.02" if enabled and not name.startswith("cut") else "-"
             report.print_figure(f"{prefix}.wrong", case.wrong, "of-inside", bound)
             if name.startswith("cut"):
-                bound = "<=0.02" if view else "-"
+                bound = "<=0.02" if enabled else "-"
                 report.print_figure(f"{prefix}.refused-calm-serving", case.serving, "of-inside", bound)
             report.print_figure(f"{prefix}.unanswered", case.unanswered, "requests", "<=0")
             report.print_figure(f"{prefix}.ran-twice", case.twice, "changes", "<=0")
--- a/lab/counted.py
+++ b/lab/counted.py
@@ -41,16 +41,16 @@
     first: int
     size: int
     use: float  # demand as a multiple of the rate
-    weights_by_index: list[float]  # share of the tries at each gateway of its set
+    gateway_weights: list[float]  # relative frequency of its tries at each gateway of its set
     level: float = 0.0
-    at: float = 0.0
+    level_at: float = 0.0
     offered_level: float = 0.0  # of a store that admits every first try that fits
     offered_at: float = 0.0
 
     def used(self, now: float) -> float:
         """Units in the exact store now."""
-        self.level = max(0.0, self.level - self.plan.rate * (now - self.at))
-        self.at = now
+        self.level = max(0.0, self.level - self.plan.rate * (now - self.level_at))
+        self.level_at = now
         return self.level
 
     def offered(self, now: float) -> bool:
@@ -99,7 +99,7 @@
 
     def pick_gateway(self, tenant: Tenant) -> int:
         """A random gateway of the tenant's set."""
-        index = self.random.choices(range(tenant.size), tenant.weights_by_index)[0]
+        index = self.random.choices(range(tenant.size), tenant.gateway_weights)[0]
         return (tenant.first + index) % len(self.live)
 
     def make_try(self, tenant: Tenant, earlier_tries: int) -> i.RequestArrived:
@@ -207,8 +207,8 @@
                 use = rng.uniform(2.4, 4.4)
             size = max(1, round(gateways * rng.uniform(0.5, 1.0)))
             first = rng.randrange(gateways)
-            weights_by_index = [rng.lognormvariate(0.0, ARRIVAL_SIGMA) for _ in range(size)]
-            created.append(Tenant(f"{plan.name}{len(created)}", plan, first, size, use, weights_by_index))
+            gateway_weights = [rng.lognormvariate(0.0, ARRIVAL_SIGMA) for _ in range(size)]
+            created.append(Tenant(f"{plan.name}{len(created)}", plan, first, size, use, gateway_weights))
             inside += min(1.0, use) * plan.rate
     return created
 
--- a/lab/vast.py
+++ b/lab/vast.py
@@ -89,20 +89,17 @@
         speedup: float = 1.0,
         **changes: Any,
     ) -> None:
-        """`changes`: settings that differ from the default, for all gateways."""
-        self.random, self.speedup = (
-            random.Random(seed),
-            speedup,
-        )  # `speedup` multiplies the speed of the backends
+        """`speedup`: factor of the backends' speed; `changes`: settings that differ from the default."""
+        self.random, self.speedup = random.Random(seed), speedup
         self.warm_up = 0.3, 11.0  # initial speed of a cold backend, and seconds until full speed
         self.rate = rate  # requests per second at each gateway
         self.now, self.serial, self.requests = 0.0, 0, 0
         self.queue: list[tuple[float, int, int, i.Event | None]] = []
         self.counts: Counter[str] = Counter()
         self.cpu_seconds = 0.0  # processor time spent in the gateways
-        self.idle: dict[tuple[int, str], list[float]] = {}
-        self.sent: list[tuple[float, int, str]] = []
-        self.taken: dict[int, tuple[int, int]] = {}
+        self.idle: dict[tuple[int, str], list[float]] = {}  # expiry of connections, by gateway and backend
+        self.sent: list[tuple[float, int, str]] = []  # time, gateway, backend
+        self.taken: dict[int, tuple[int, int]] = {}  # second and messages taken in it, by gateway
         self.boxes: dict[str, Box] = {}
         for n in range(backends):
             self.add(f"b{n}", ZONES[n % 3], None)
