--- a/lab/authority.py
+++ b/lab/authority.py
@@ -29,14 +29,18 @@
         """Its own certificate, as a root."""
         return self.ca.cert_pem.bytes()
 
-    def issue(self, *names: str, begins: float = -3600.0, ends: float = 30 * 86400.0) -> trustme.LeafCert:
+    def issue(
+        self, *names: str, valid_from: float = -3600.0, valid_until: float = 30 * 86400.0
+    ) -> trustme.LeafCert:
         """A certificate for DNS names, valid from and until so many seconds from now."""
         now = datetime.now(UTC)
         return self.ca.issue_cert(
-            *names, not_before=now + timedelta(seconds=begins), not_after=now + timedelta(seconds=ends)
+            *names,
+            not_before=now + timedelta(seconds=valid_from),
+            not_after=now + timedelta(seconds=valid_until),
         )
 
-    def issue_odd(self, name: str | None, common_name: str = "") -> trustme.LeafCert:
+    def issue_nonstandard(self, name: str | None, common_name: str = "") -> trustme.LeafCert:
         """What no careful authority would sign: a name with an odd wildcard, or a common name alone."""
         good = self.issue("a.example.org")
         like = x509.load_pem_x509_certificate(good.cert_chain_pems[0].bytes())
--- a/lab/bench_counter.py
+++ b/lab/bench_counter.py
@@ -26,11 +26,11 @@
 from hoistfold import interface as i
 from hoistfold.gateway import Gateway
 from lab.box import Box
-from lab.callers import Callers, command, kind_of, read
-from lab.counter import Door, Store
-from lab.datagrams import Datagrams
+from lab.callers import Callers, command, read, reply_outcome
+from lab.counter import CounterServer, Store
+from lab.datagrams import DatagramProxy
 from lab.processes import Ingress
-from lab.quotas import Try, Verdict, judge
+from lab.quotas import QuotaReport, TenantRequest, evaluate_quotas
 from lab.report import Report
 from lab.vast import settings
 from standflow.counter.ledger import Ledger
@@ -76,10 +76,10 @@
         self.folder = Path(self.stack.enter_context(tempfile.TemporaryDirectory()))
         self.store = Store(PARTS)
         # The way in from the room of the first ingress, and that of the others.
-        self.near, self.door = (self.stack.enter_context(Door(self.store)) for _ in range(2))
+        self.near, self.door = (self.stack.enter_context(CounterServer(self.store)) for _ in range(2))
         self.box = self.stack.enter_context(Box())
         self.ring, self.witness = ring, witness
-        self.network = self.stack.enter_context(Datagrams(INGRESSES, loss))
+        self.network = self.stack.enter_context(DatagramProxy(INGRESSES, loss))
         self.ingresses = [self.start(number) for number in range(INGRESSES)]
         self.addresses = [one.address() for one in self.ingresses]
 
@@ -92,7 +92,7 @@
     def start(self, number: int) -> Ingress:
         """An ingress by its number, with nothing kept of an earlier life."""
         lines = ["peer-listen {}:{}".format(*self.network.real[number])]
-        lines += ["peer {}:{}".format(*address) for address in self.network.seen_by(number)]
+        lines += ["peer {}:{}".format(*address) for address in self.network.addresses_for(number)]
         path = self.folder / f"{number}.conf"
         path.write_text(
             FILE.format(
@@ -123,7 +123,7 @@
 
     def __init__(self, site: Site, number: int, due: list[tuple[float, str]]) -> None:
         self.site, self.number, self.due = site, number, due
-        self.tries: list[Try] = []
+        self.tries: list[TenantRequest] = []
         self.unanswered = 0
         self.thread = threading.Thread(target=self._ask, daemon=True)
 
@@ -145,9 +145,9 @@
                 if sock is not None:
                     sock.close()
                 sock = None
-            end = kind_of(answer)
+            end = reply_outcome(answer)
             if end in ("served", "refused"):
-                self.tries.append(Try(time.monotonic() - begin, tenant, 1.0, end == "served"))
+                self.tries.append(TenantRequest(time.monotonic() - begin, tenant, 1.0, end == "served"))
             else:
                 self.unanswered += 1
         if sock is not None:
@@ -180,12 +180,12 @@
 
 
 def ways(**values: Any) -> Callable[[Site], None]:
-    """The ways in from both rooms become like this; see lab.counter.Way."""
+    """The ways in from both rooms become like this; see lab.counter.ServerFaults."""
 
     def goes(site: Site) -> None:
         for door in (site.near, site.door):
             for name, value in values.items():
-                setattr(door.way, name, value)
+                setattr(door.faults, name, value)
 
     return goes
 
@@ -198,7 +198,7 @@
 
 def part_cut(site: Site) -> None:
     """One part is reached from the others' room only."""
-    site.near.way.cut.add(0)
+    site.near.faults.cut.add(0)
 
 
 def disagree(site: Site) -> None:
@@ -247,8 +247,8 @@
     Case("ring-and-part-cut", goes=part_cut),
     Case("ring-and-two-counters", goes=disagree),
     Case("ring-and-emptied", goes=empty),
-    Case("ring-and-answers-lost", goes=ways(lose=0.5)),
-    Case("ring-and-answers-spoilt", goes=ways(spoil=0.3)),
+    Case("ring-and-answers-lost", goes=ways(drop_share=0.5)),
+    Case("ring-and-answers-spoilt", goes=ways(corrupt_share=0.3)),
     Case("ring-and-restart", goes=Site.restart, unanswered=DOWN),
     Case("restart-with-ring-alone", witness=False, goes=Site.restart, unanswered=DOWN),
     Case("ring-loses-7-of-100", loss=0.065, witness=False),
@@ -258,8 +258,8 @@
     Case("silent-ring-and-part-cut", goes=silence_and(part_cut), wrong=0.1),
     Case("silent-ring-and-two-counters", goes=silence_and(disagree), wrong=0.1),
     Case("silent-ring-and-emptied", goes=silence_and(empty), wrong=0.1),
-    Case("silent-ring-and-answers-lost", goes=silence_and(ways(lose=0.5)), wrong=0.1),
-    Case("silent-ring-and-answers-spoilt", goes=silence_and(ways(spoil=0.3)), wrong=0.1),
+    Case("silent-ring-and-answers-lost", goes=silence_and(ways(drop_share=0.5)), wrong=0.1),
+    Case("silent-ring-and-answers-spoilt", goes=silence_and(ways(corrupt_share=0.3)), wrong=0.1),
     Case("silent-ring-and-restart", goes=silence_and(Site.restart), wrong=0.1, unanswered=DOWN),
     Case("one-cut-off-from-the-ring", goes=cut_off, wrong=0.1),
     Case("one-cut-off-from-both", goes=cut_off_from_all, wrong=0.1),
@@ -268,7 +268,7 @@
 )
 
 
-def play(case: Case, seed: int = 1) -> tuple[Verdict, int, float]:
+def play(case: Case, seed: int = 1) -> tuple[QuotaReport, int, float]:
     """The verdict, how many got no answer, and calls of the counter a request."""
     with Site(case.ring, WITNESS if case.witness else "", case.loss) as site:
         if case.ring:
@@ -283,7 +283,7 @@
             assert not one.thread.is_alive()  # a history cut short proves nothing
         tries = [one for asker in askers for one in asker.tries]
         unanswered = sum(asker.unanswered for asker in askers)
-        return judge(tries, RATE, BURST), unanswered, site.store.calls / max(1, len(tries))
+        return evaluate_quotas(tries, RATE, BURST), unanswered, site.store.calls / max(1, len(tries))
 
 
 def promise(report: Report, cases: list[Case]) -> None:
@@ -291,8 +291,10 @@
     with ThreadPoolExecutor(AT_ONCE) as pool:
         for case, (verdict, unanswered, calls) in zip(cases, pool.map(play, cases), strict=True):
             report.tell(f"{case.name}_use", verdict.use, "of_allowance", "<=1.1")
-            report.tell(f"{case.name}_wrong", verdict.wrong, "of_inside", f"<={case.wrong}")
-            report.tell(f"{case.name}_wrong_calm", verdict.wrong_calm, "of_inside", f"<={case.wrong}")
+            report.tell(f"{case.name}_wrong", verdict.refused_share, "of_inside", f"<={case.wrong}")
+            report.tell(
+                f"{case.name}_wrong_calm", verdict.compliant_refused_share, "of_inside", f"<={case.wrong}"
+            )
             report.tell(f"{case.name}_unanswered", unanswered, "count", f"<={case.unanswered}")
             if case.witness:
                 report.tell(f"{case.name}_calls", calls, "per_request")
@@ -318,7 +320,7 @@
         for name, callers in loads.items():
             for load in callers:
                 load.stop()
-            count = sum(sum(load.ends(since).values()) for load in callers)
+            count = sum(sum(load.outcome_counts(since).values()) for load in callers)
             spent[name] = (after[name] - before[name]) / max(1, count)
             report.tell(f"cpu_{name}", 1e6 * spent[name], "us_per_request")
         report.tell("cpu_calls", (on.store.calls - calls) / 12.0 / INGRESSES, "per_second_per_ingress")
--- a/lab/bench_fleet.py
+++ b/lab/bench_fleet.py
@@ -50,25 +50,25 @@
         site.run(schedule.read(text, 5), span)
         table = record(site)
     verdict = quotas(table)
-    serving = quotas(table, SERVING).wrong_calm
-    return Case(verdict.use, verdict.wrong, serving, unanswered(table), ran_twice(table))
+    serving = quotas(table, SERVING).compliant_refused_share
+    return Case(verdict.use, verdict.refused_share, serving, unanswered(table), ran_twice(table))
 
 
 def times() -> dict[str, float]:
     """Twenty real ingresses without load: seconds until all know."""
     found = {}
     with Site(MANY, boxes=1) as site:
-        found["start"] = site.until_agreed(20.0)
+        found["start"] = site.wait_for_agreement(20.0)
         time.sleep(3.0)
         site.kill(7)
-        found["crash"] = site.until_agreed(20.0)
+        found["crash"] = site.wait_for_agreement(20.0)
         site.start(7)
-        found["join"] = site.until_agreed(20.0)
+        found["join"] = site.wait_for_agreement(20.0)
         time.sleep(1.0)
-        site.network.part(set(range(8)), set(range(8, MANY)))
+        site.network.partition(set(range(8)), set(range(8, MANY)))
         time.sleep(15.0)
-        site.network.part()
-        found["healed"] = site.until_agreed(20.0)
+        site.network.partition()
+        found["healed"] = site.wait_for_agreement(20.0)
         before = {n: one.cpu() for n, one in site.live.items()}
         time.sleep(5.0)
         found["idle-cpu"] = sum(one.cpu() - before[n] for n, one in site.live.items()) / MANY / 5.0
@@ -78,28 +78,28 @@
 def simulated(size: int) -> dict[str, float]:
     """Members in simulated time with 6.5% loss: seconds until all know, and datagrams a second each way."""
     members = Members(size, 1, loss=0.065)
-    found = {"start": members.until(members.agree, 30.0)}
+    found = {"start": members.until(members.all_agree, 30.0)}
     members.run(4.0)
     before = sum(membership.outbox.sent + membership.counts.taken for membership in members.live.values())
     members.run(10.0)
     after = sum(membership.outbox.sent + membership.counts.taken for membership in members.live.values())
     found["messages"] = (after - before) / size / 10.0 / 2
     members.kill(size // 2)
-    found["crash"] = members.until(members.agree, 20.0)
+    found["crash"] = members.until(members.all_agree, 20.0)
     members.start(size // 2)
-    found["join"] = members.until(members.agree, 20.0)
+    found["join"] = members.until(members.all_agree, 20.0)
     side = set(range(2 * size // 5))
     members.blocked = lambda sender, to: (sender in side) != (to in side)
     members.run(20.0)
     members.blocked = lambda sender, to: False
-    found["healed"] = members.until(members.agree, 20.0)
+    found["healed"] = members.until(members.all_agree, 20.0)
     return found
 
 
 def falsely(size: int, seconds: float, seed: int) -> tuple[int, float]:
     """How often a live member was held for gone by another, and in how many hours of members."""
     members = Members(size, seed, loss=0.065)
-    members.until(members.agree, 30.0)
+    members.until(members.all_agree, 30.0)
     for membership in members.live.values():
         membership.changes.clear()
     members.run(seconds)
@@ -129,7 +129,7 @@
         for name, callers in loads.items():
             for load in callers:
                 load.stop()
-            count = sum(sum(load.ends(since).values()) for load in callers)
+            count = sum(sum(load.outcome_counts(since).values()) for load in callers)
             spent[name] = (after[name] - before[name]) / max(1, count)
             report.tell(f"fleet.cpu-{name}", 1e6 * spent[name], "us-a-request")
     report.tell("fleet.cpu-on-over-off", spent["on"] / spent["off"], "ratio", "<=1.03")
--- a/lab/bench_ops.py
+++ b/lab/bench_ops.py
@@ -67,7 +67,7 @@
 
 def call(ingress: Ingress, method: str, path: str) -> tuple[int, str, float]:
     """One operators' call: the status, the text, and the seconds that it took."""
-    match = ingress.logged(r"ops \S+ on ([\d.]+):(\d+)")
+    match = ingress.wait_for_log(r"ops \S+ on ([\d.]+):(\d+)")
     began = time.monotonic()
     with socket.create_connection((match[1], int(match[2])), 10.0) as sock:
         sock.sendall(f"{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
@@ -98,7 +98,7 @@
 def answers(report: Report, place: Place) -> None:
     """The slowest operators' answer under full load, beside connections that say nothing whole."""
     ingress, held = place.start(), list[socket.socket]()
-    match = ingress.logged(r"ops \S+ on ([\d.]+):(\d+)")
+    match = ingress.wait_for_log(r"ops \S+ on ([\d.]+):(\d+)")
     with loaded(ingress.address(), rate=4 * RATE, connections=48):
         slowest, wrong = 0.0, 0
         end = time.monotonic() + 8.0
@@ -132,10 +132,10 @@
             slowest, began = max(slowest, time.monotonic() - began), time.monotonic()
             ingress.end()
             leaves, ingress = max(leaves, time.monotonic() - began), newer
-    ends, again = callers.ends(), sum(one.again for one in callers.asked)
-    report.tell("upgrade.requests", sum(ends.values()), "requests")
-    report.tell("upgrade.lost", ends["lost"], "requests", "==0")
-    report.tell("upgrade.failed", ends["failed"], "requests", "==0")
+    valid_until, again = callers.outcome_counts(), sum(one.again for one in callers.asked)
+    report.tell("upgrade.requests", sum(valid_until.values()), "requests")
+    report.tell("upgrade.lost", valid_until["lost"], "requests", "==0")
+    report.tell("upgrade.failed", valid_until["failed"], "requests", "==0")
     report.tell("upgrade.sent_once_more", again, "requests")
     report.tell("upgrade.slowest_yes", slowest, "s", "<=6")
     report.tell("upgrade.slowest_leave", leaves, "s", "<=3.7")
@@ -149,10 +149,10 @@
             # the callers here ask no front, and come back: each connection lives for one request
             emptied = max(emptied, time.monotonic() - began)
             call(ingress, "POST", "/api/rejoin")
-    ends, again = callers.ends(), sum(one.again for one in callers.asked)
-    report.tell("drain.requests", sum(ends.values()), "requests")
-    report.tell("drain.lost", ends["lost"], "requests", "==0")
-    report.tell("drain.failed", ends["failed"], "requests", "==0")
+    valid_until, again = callers.outcome_counts(), sum(one.again for one in callers.asked)
+    report.tell("drain.requests", sum(valid_until.values()), "requests")
+    report.tell("drain.lost", valid_until["lost"], "requests", "==0")
+    report.tell("drain.failed", valid_until["failed"], "requests", "==0")
     report.tell("drain.sent_once_more", again, "requests")
     ingress.end()
 
@@ -210,7 +210,7 @@
         reader.join(60.0)
     report.tell("long.whole", sum(whole), "values", f"=={READERS}")
     report.tell("long.on_their_way", READERS * LONG / 2**20, "MB")
-    report.tell("long.peak", ingress.peak(), "MB", f"<={MEMORY}")
+    report.tell("long.peak", ingress.peak_rss_mb(), "MB", f"<={MEMORY}")
     ingress.end()
     for box in boxes:
         box.do("set", value=0)
--- a/lab/bench_power.py
+++ b/lab/bench_power.py
@@ -17,8 +17,8 @@
 
 from lab.callers import Callers
 from lab.fleet import schedule
-from lab.fleet.record import COLD_FROM, COLD_TIME, pushed, quotas, ran_twice, record, unanswered
-from lab.fleet.site import WORK, Site
+from lab.fleet.record import COLD_START_SHARE, WARM_UP_SECONDS, pushed, quotas, ran_twice, record, unanswered
+from lab.fleet.site import REQUEST_CPU_SECONDS, Site
 from lab.report import Report
 from standflow.recovery.records import Record, encode, header_line, identity
 from standflow.recovery.store import RECORDS_FILE, Store
@@ -47,7 +47,7 @@
 def play(store: bool, seed: int) -> Case:
     """All end, and come back half a second later to boxes that are cold."""
     with Site(SIZE, boxes=BOXES, seed=seed, store=store, streams=True) as site:
-        site.until_agreed(10.0)
+        site.wait_for_agreement(10.0)
         offset = site.now()
         site.run(schedule.read(TEXT, SIZE), SPAN)
         table = record(site)
@@ -63,10 +63,14 @@
         reached = (at for at in steps if sum(at <= one < at + WINDOW for one in times) >= wanted * WINDOW)
         back[part] = next(reached, lost + 15.0) - lost
         # what the boxes can do grows from their start on; nothing is served before the ingresses are back
-        cold = (wanted * WORK / BOXES - COLD_FROM) * COLD_TIME / (1 - COLD_FROM)
-        best[part] = max(0.5, min(cold, COLD_TIME))
+        cold = (
+            (wanted * REQUEST_CPU_SECONDS / BOXES - COLD_START_SHARE)
+            * WARM_UP_SECONDS
+            / (1 - COLD_START_SHARE)
+        )
+        best[part] = max(0.5, min(cold, WARM_UP_SECONDS))
     return Case(
-        quotas(table).use, later.wrong, back, best, pushed(table), unanswered(table), ran_twice(table)
+        quotas(table).use, later.refused_share, back, best, pushed(table), unanswered(table), ran_twice(table)
     )
 
 
@@ -90,7 +94,7 @@
         for name, callers in loads.items():
             for load in callers:
                 load.stop()
-            count = sum(sum(load.ends(since).values()) for load in callers)
+            count = sum(sum(load.outcome_counts(since).values()) for load in callers)
             spent[name] = (after[name] - before[name]) / max(1, count)
             report.tell(f"power.cpu-{name}", 1e6 * spent[name], "us-a-request")
     report.tell("power.cpu-on-over-off", spent["on"] / spent["off"], "ratio", "<=1.05")
--- a/lab/bench_tls.py
+++ b/lab/bench_tls.py
@@ -239,7 +239,7 @@
         boxes = {f"s-{n}": site.box(f"s-{n}") for n in range(BOXES)}
         for name, box in boxes.items():
             box.do("set", work=WORK, delay=DELAY, cores=SCALE, cold_time=COLD_TIME)
-            discovery.tell(name, box.address)
+            discovery.publish(name, box.address)
         agent = f"discovery {discovery.address[0]}:{discovery.address[1]}"
         values = {
             "ingresses": ingresses,
@@ -261,12 +261,12 @@
         victim = boxes["s-0"]
         started = victim.do("restart", certificate=site.certificate("s-0"))["started"]
         time.sleep(LATE)
-        discovery.tell("s-0", victim.address, up_since=started)
+        discovery.publish("s-0", victim.address, up_since=started)
         time.sleep(COLD_TIME + 2.0 - LATE)
         for caller in callers:
             caller.stop()
         # What was out when the process died may have run, and fails for that; it is no matter of handshakes.
-        ends = sum((caller.ends(started + 0.1) for caller in callers), Counter[str]())
+        valid_until = sum((caller.outcome_counts(started + 0.1) for caller in callers), Counter[str]())
         stats = {name: box.do("stats") for name, box in boxes.items()}
         worst = _worst(stats["s-0"]["events"], started)
         name = f"cold_{ingresses}_{'limited' if limit == 'on' else 'unlimited'}"
@@ -274,9 +274,9 @@
         report.tell(f"{name}_handshakes", _handshakes(stats["s-0"]["events"], started), "count")
         after = _share_after(stats, started)
         report.tell(f"{name}_own_share_after", after, "s")
-        lost = ends["lost"] + ends["failed"]
-        report.tell(f"{name}_requests", sum(ends.values()), "count")
-        report.tell(f"{name}_refused", ends["refused"], "count")
+        lost = valid_until["lost"] + valid_until["failed"]
+        report.tell(f"{name}_requests", sum(valid_until.values()), "count")
+        report.tell(f"{name}_refused", valid_until["refused"], "count")
         report.tell(f"{name}_lost_or_failed", lost, "count", "==0" if limit == "on" else "-")
         twice = sum(count > 1 for seen in stats.values() for count in seen["changes"].values())
         report.tell(f"{name}_ran_twice", twice, "count", "==0")
@@ -337,16 +337,16 @@
         for turn in range(2, 12):
             before, site.authority = site.authority, Authority()
             site.authority.write_roots(site.folder, before, name="next.pem").replace(site.roots)
-            one.logged(rf"tls: set {turn} in use")
+            one.wait_for_log(rf"tls: set {turn} in use")
             for name, box in boxes.items():
                 box.do("forget", certificate=site.certificate(name))
             time.sleep(0.7)
         callers.stop()
-        ends = callers.ends()
+        valid_until = callers.outcome_counts()
         stats = [box.do("stats") for box in boxes.values()]
-        report.tell("rotations_requests", sum(ends.values()), "count", ">=500")
-        report.tell("rotations_lost_or_failed", ends["lost"] + ends["failed"], "count", "==0")
-        report.tell("rotations_refused", ends["refused"], "count", "==0")
+        report.tell("rotations_requests", sum(valid_until.values()), "count", ">=500")
+        report.tell("rotations_lost_or_failed", valid_until["lost"] + valid_until["failed"], "count", "==0")
+        report.tell("rotations_refused", valid_until["refused"], "count", "==0")
         report.tell("rotations_handshakes", sum(seen["full"] + seen["resumed"] for seen in stats), "count")
         report.tell("rotations_failed_handshakes", sum(seen["failed"] for seen in stats), "count", "==0")
 
--- a/lab/box.py
+++ b/lab/box.py
@@ -109,11 +109,13 @@
         self.work, self.cores, self.cold_from, self.cold_time = work, cores, cold_from, cold_time
         self.started = 0.0  # Unix time; long ago
         self.counts = Counts()
-        self.arrived: set[str] = set()  # ids of requests that have come whole; several boxes may share it
+        self.received_ids: set[str] = (
+            set()
+        )  # ids of requests that have come whole; several boxes may share it
         self.lock = threading.Lock()
         self.free_at = 0.0
         self.wires: set[Wire] = set()
-        self.acceptor = Acceptor(self._live, address)
+        self.acceptor = Acceptor(self._handle_connection, address)
         self.address = self.acceptor.address
 
     # What a test or the control does to it.
@@ -147,7 +149,7 @@
     def __exit__(self, *_: object) -> None:
         self.close()
 
-    def ran(self) -> Counter[str]:
+    def run_counts(self) -> Counter[str]:
         """How often each id ran."""
         with self.lock:
             return Counter(self.counts.runs)
@@ -175,7 +177,7 @@
         if wait > 0:
             time.sleep(wait)
 
-    def _live(self, sock: socket.socket) -> None:
+    def _handle_connection(self, sock: socket.socket) -> None:
         mode = self.mode
         if mode.reset_accepts:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
@@ -187,8 +189,8 @@
             try:
                 if mode.plain and self.context is not None:
                     sock.recv(65536)
-                    wire.put(b"-ERR this is no TLS\r\n")
-                elif wire.tls is None or self._greet(wire, mode):
+                    wire.write_raw(b"-ERR this is no TLS\r\n")
+                elif wire.tls is None or self._handshake(wire, mode):
                     self._serve(wire, mode)
             except (CutError, OSError):
                 wire.close(notify=False)
@@ -207,7 +209,7 @@
                 self.counts.open -= 1
             wire.sock.close()
 
-    def _greet(self, wire: Wire, mode: Mode) -> bool:
+    def _handshake(self, wire: Wire, mode: Mode) -> bool:
         try:
             resumed = wire.handshake(mode.stall_at)
         except (OSError, CutError):
@@ -239,12 +241,12 @@
             while (found := command(data)) is not None:
                 parts, size = found
                 data = data[size:]
-                answer = self._answer(parts, time.monotonic() - since_received(wire.sock))
+                answer = self._answer(parts, time.monotonic() - seconds_since_received(wire.sock))
                 if mode.silent or self._hangs(parts):
                     continue
                 if mode.alert:
                     wire.write(answer[:5])
-                    wire.put(wire.alert())
+                    wire.write_raw(wire.alert())
                     return
                 wire.write(answer + mode.behind)
                 answered += 1
@@ -263,7 +265,7 @@
             safe, left = parts[0] == b"Q.ASK", _time_left(parts[3])
             self.counts.arrivals.append(Arrival(came_at, time.monotonic(), ident, safe, left))
             self.counts.runs[ident] += 1
-            self.arrived.add(ident)
+            self.received_ids.add(ident)
             if parts[0] == b"Q.DO":
                 self.counts.changes[ident] += 1
         if self.work:
@@ -274,7 +276,7 @@
         return b"*3\r\n$%d\r\n%b\r\n" % (len(value), value) + NOTHING + NOTHING
 
 
-def since_received(sock: socket.socket) -> float:
+def seconds_since_received(sock: socket.socket) -> float:
     """Seconds since the kernel received data on a connection, however late this process reads it.
 
     `tcpi_last_data_recv` of tcp_info (linux/tcp.h): the twelfth of the numbers behind eight bytes of flags.
--- a/lab/callers.py
+++ b/lab/callers.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class RequestRecord:
     """One request: Unix time, seconds to the answer, and served, refused, failed or lost."""
 
     at: float
@@ -32,7 +32,7 @@
     )
 
 
-class UnheardError(OSError):
+class ClosedWithoutReplyError(OSError):
     """The connection was closed in order, with nothing of an answer."""
 
 
@@ -53,7 +53,7 @@
         """`number`: the ingress's, with which its customers' sets begin; `changes`: the unsafe part."""
         self.address, self.rate, self.number, self.connections = address, rate, number, connections
         self.changes, self.spread, self.seed, self.plan = changes, spread, seed, plan
-        self.asked: list[Asked] = []
+        self.asked: list[RequestRecord] = []
         self.stopped = threading.Event()
         self.threads = [
             threading.Thread(target=self._ask, args=(connection,), daemon=True)
@@ -71,20 +71,20 @@
         for thread in self.threads:
             thread.join(20.0)
 
-    def ends(self, since: float = 0.0) -> Counter[str]:
+    def outcome_counts(self, since: float = 0.0) -> Counter[str]:
         """How many ended in each way, of those asked since a Unix time."""
         return Counter(one.end for one in list(self.asked) if one.at >= since)
 
     def _ask(self, connection: int) -> None:
-        chance = random.Random(f"{self.seed} {self.number} {connection}")
+        rng = random.Random(f"{self.seed} {self.number} {connection}")
         sock: socket.socket | None = None
-        due, serial = time.monotonic() + chance.expovariate(self.rate / self.connections), 0
+        due, serial = time.monotonic() + rng.expovariate(self.rate / self.connections), 0
         while not self.stopped.wait(max(0.0, due - time.monotonic())):
-            due = max(due + chance.expovariate(self.rate / self.connections), time.monotonic() - 1.0)
+            due = max(due + rng.expovariate(self.rate / self.connections), time.monotonic() - 1.0)
             serial += 1
-            safe = chance.random() >= self.changes
+            safe = rng.random() >= self.changes
             ident = f"{self.seed:02x}n{self.number}l{connection}s{serial}"
-            customer = b"%016x" % (self.number * 1000 + chance.randrange(20))
+            customer = b"%016x" % (self.number * 1000 + rng.randrange(20))
             kind = b"look" if safe else b"change"
             said = b"c=%b,t=%b,d=3000,units=1,spread=%d,first=%d" % (
                 kind,
@@ -111,12 +111,12 @@
                     if sock is not None:
                         sock.close()
                     sock = None
-                    if not kept or not isinstance(error, UnheardError):
+                    if not kept or not isinstance(error, ClosedWithoutReplyError):
                         break
                     again = True
-            took, end = time.monotonic() - began, kind_of(answer)
+            took, end = time.monotonic() - began, reply_outcome(answer)
             value = answer.split(b"\r\n")[1] if end == "served" else b""
-            self.asked.append(Asked(at, ident, safe, took, end, value, again))
+            self.asked.append(RequestRecord(at, ident, safe, took, end, value, again))
         if sock is not None:
             with contextlib.suppress(OSError):
                 sock.close()
@@ -133,7 +133,7 @@
     while True:
         more = sock.recv(65536)
         if not more:
-            raise ConnectionResetError if data else UnheardError
+            raise ConnectionResetError if data else ClosedWithoutReplyError
         data += more
         if not data.endswith(b"\r\n"):
             continue
@@ -144,7 +144,7 @@
             return data
 
 
-def kind_of(answer: bytes) -> str:
+def reply_outcome(answer: bytes) -> str:
     """What an answer is to its caller."""
     if answer.startswith(b"$") and not answer.startswith(b"$-1"):
         return "served"
@@ -166,7 +166,7 @@
     with socket.create_connection((host, int(port)), 5.0) as sock:
         sock.sendall(command([b"Q.DO" if unsafe else b"Q.ASK", b"%016x" % 7, ident, options]))
         answer = read(sock)
-    click.echo(f"{kind_of(answer)}: {answer.decode('utf-8', 'replace').strip()!r}")
+    click.echo(f"{reply_outcome(answer)}: {answer.decode('utf-8', 'replace').strip()!r}")
 
 
 if __name__ == "__main__":
--- a/lab/counter.py
+++ b/lab/counter.py
@@ -19,11 +19,11 @@
 
 from lab.accept import Acceptor, reset
 
-MOST_LIFE = 60.0
+MAX_TTL_SECONDS = 60.0
 
 
 @dataclass
-class Number:
+class StoredTotal:
     """A total that is forgotten at a time of the monotonic clock."""
 
     total: float
@@ -37,11 +37,11 @@
         """`line`: seconds' worth of calls that a part lets wait before it turns calls away."""
         self.parts, self.per_second, self.line = parts, per_second, line
         self.lock = threading.Lock()
-        self.numbers: dict[str, Number] = {}
+        self.numbers: dict[str, StoredTotal] = {}
         self.free_at = [0.0] * parts
         self.calls = 0
         self.reads: Counter[str] = Counter()  # by name, calls that add nothing
-        self.turned_away = 0
+        self.rejected = 0
 
     def part(self, name: str) -> int:
         """Where a name lies."""
@@ -61,41 +61,48 @@
             part = self.part(name)
             begin = max(now, self.free_at[part])
             if begin - now > self.line:
-                self.turned_away += 1
+                self.rejected += 1
                 return None, 0.0
             self.free_at[part] = begin + 1 / self.per_second
             number = self.numbers.get(name)
             if number is None or number.until <= now:
-                number = self.numbers[name] = Number(0.0, now + min(life, MOST_LIFE))
+                number = self.numbers[name] = StoredTotal(0.0, now + min(life, MAX_TTL_SECONDS))
             number.total += amount
             return number.total, self.free_at[part] - now
 
 
 @dataclass
-class Way:
+class ServerFaults:
     """How the way in from one room is; the default is well."""
 
     delay: float = 0.0  # seconds more until an answer leaves
     cut: set[int] = field(default_factory=set)  # parts that nothing comes back from
-    lose: float = 0.0  # part of the answers that never come, though the amount was added
-    spoil: float = 0.0  # part of the answers that hold no number; their connection says no more
+    drop_share: float = 0.0  # part of the answers that never come, though the amount was added
+    corrupt_share: float = 0.0  # part of the answers that hold no number; their connection says no more
     refuse: bool = False  # connections end at once
     seed: int = 0
 
 
-class Door:
+class CounterServer:
     """A counter's listener."""
 
-    def __init__(self, store: Store, way: Way | None = None, idle: float = 10.0, most: int = 32) -> None:
-        self.store, self.way, self.idle, self.most = store, way or Way(), idle, most
-        self.chance = random.Random(self.way.seed)
+    def __init__(
+        self, store: Store, faults: ServerFaults | None = None, idle: float = 10.0, max_per_peer: int = 32
+    ) -> None:
+        self.store, self.faults, self.idle, self.max_per_peer = (
+            store,
+            faults or ServerFaults(),
+            idle,
+            max_per_peer,
+        )
+        self.rng = random.Random(self.faults.seed)
         self.lock = threading.Lock()
-        self.held: Counter[str] = Counter()
-        self.socks: set[socket.socket] = set()
+        self.open_by_peer: Counter[str] = Counter()
+        self.connections: set[socket.socket] = set()
         self.acceptor = Acceptor(self._serve)
         self.address = self.acceptor.address
 
-    def __enter__(self) -> Door:
+    def __enter__(self) -> CounterServer:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -105,16 +112,16 @@
         """Accepts nothing more and ends what is open."""
         self.acceptor.close()
         with self.lock:
-            socks = list(self.socks)
-        for sock in socks:
+            connections = list(self.connections)
+        for sock in connections:
             reset(sock)
 
     def _serve(self, sock: socket.socket) -> None:
         peer = sock.getpeername()[0]
         with self.lock:
-            self.held[peer] += 1
-            many = self.held[peer] > self.most or self.way.refuse
-            self.socks.add(sock)
+            self.open_by_peer[peer] += 1
+            many = self.open_by_peer[peer] > self.max_per_peer or self.faults.refuse
+            self.connections.add(sock)
         try:
             if many:
                 reset(sock)
@@ -122,8 +129,8 @@
                 self._answer(sock)
         finally:
             with self.lock:
-                self.held[peer] -= 1
-                self.socks.discard(sock)
+                self.open_by_peer[peer] -= 1
+                self.connections.discard(sock)
             sock.close()
 
     def _answer(self, sock: socket.socket) -> None:
@@ -168,7 +175,7 @@
 
     def _call(self, head: bytes) -> tuple[float, bytes | None]:
         """When an answer leaves, and what it is; empty: never."""
-        way, now = self.way, time.monotonic()
+        faults, now = self.faults, time.monotonic()
         try:
             method, target, _ = head.split(b"\r\n", 1)[0].split(b" ")
             url = urlsplit(target.decode())
@@ -179,14 +186,14 @@
                 raise ValueError
         except (ValueError, KeyError):
             return now, reply(b"400 Bad Request", b"")
-        if self.store.part(name) in way.cut:
+        if self.store.part(name) in faults.cut:
             return now, b""
         total, took = self.store.add(name, amount, life)
-        at = now + took + way.delay
+        at = now + took + faults.delay
         if total is None:
             return at, reply(b"503 Service Unavailable", b"")
         with self.lock:
-            lost, spoilt = self.chance.random() < way.lose, self.chance.random() < way.spoil
+            lost, spoilt = self.rng.random() < faults.drop_share, self.rng.random() < faults.corrupt_share
         if lost:
             return at, b""
         return at, reply(b"200 OK", b"no number" if spoilt else b"%.7g" % total)
--- a/lab/datagrams.py
+++ b/lab/datagrams.py
@@ -17,14 +17,14 @@
 import time
 
 Address = tuple[str, int]
-FLEETS = itertools.count()
+INSTANCE_SERIALS = itertools.count()
 
 
-class Datagrams:
+class DatagramProxy:
     """A relay for so many members, on a thread of its own. What it does to datagrams may change any time."""
 
     def __init__(self, members: int, loss: float = 0.0, seed: int = 0) -> None:
-        self.loss, self.chance = loss, random.Random(seed)
+        self.loss, self.rng = loss, random.Random(seed)
         self.cut: set[int] = set()  # members that nothing comes from or reaches
         self.blocked: set[tuple[int, int]] = set()  # from the first to the second nothing passes
         self.delay = 0.0  # seconds in the mean; between none and twice that, so that some overtake others
@@ -37,7 +37,7 @@
         self.selector = selectors.DefaultSelector()
         # Members listen at a host of this fleet's own: a port there is free once its socket here is closed,
         # and stays so while a member is dead, as everything else binds to 127.0.0.1.
-        number, held = next(FLEETS), []
+        number, held = next(INSTANCE_SERIALS), []
         host = f"127.{1 + os.getpid() // 200 % 200}.{1 + os.getpid() % 200}.{1 + number % 250}"
         for at in range(members):
             for peer in range(members):
@@ -55,7 +55,7 @@
         self.thread = threading.Thread(target=self._pass, daemon=True)
         self.thread.start()
 
-    def __enter__(self) -> Datagrams:
+    def __enter__(self) -> DatagramProxy:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -65,14 +65,14 @@
         for sock in self.socks.values():
             sock.close()
 
-    def seen_by(self, member: int) -> list[Address]:
+    def addresses_for(self, member: int) -> list[Address]:
         """The addresses of all members, in the order of numbers, as one sees them; its own is real."""
         return [
             self.real[peer] if peer == member else self.socks[member, peer].getsockname()
             for peer in range(len(self.real))
         ]
 
-    def part(self, *sides: set[int]) -> None:
+    def partition(self, *sides: set[int]) -> None:
         """Only members of one side reach each other; without sides everybody does."""
         of = {member: number for number, side in enumerate(sides) for member in side}
         pairs = self.socks if sides else ()
@@ -85,15 +85,15 @@
                 sender, peer = key.data
                 content = self.socks[sender, peer].recv(2048)
                 gone = {sender, peer} & self.cut or (sender, peer) in self.blocked
-                if gone or self.chance.random() < self.loss:
+                if gone or self.rng.random() < self.loss:
                     continue
-                if self.chance.random() < self.noise:
-                    at = self.chance.randrange(max(1, len(content)))
-                    content = content[:at] + self.chance.randbytes(len(content) - at)
-                if self.chance.random() < self.again:
-                    self._later(self.chance.random(), (sender, peer), content)
+                if self.rng.random() < self.noise:
+                    at = self.rng.randrange(max(1, len(content)))
+                    content = content[:at] + self.rng.randbytes(len(content) - at)
+                if self.rng.random() < self.again:
+                    self._later(self.rng.random(), (sender, peer), content)
                 if self.delay:
-                    self._later(self.delay * self.chance.uniform(0.0, 2.0), (sender, peer), content)
+                    self._later(self.delay * self.rng.uniform(0.0, 2.0), (sender, peer), content)
                 else:
                     self._send(sender, peer, content)
             while self.waiting and self.waiting[0][0] <= time.monotonic():
@@ -101,7 +101,7 @@
                 self._send(sender, peer, content)
 
     def _later(self, delay: float, pair: tuple[int, int], content: bytes) -> None:
-        heapq.heappush(self.waiting, (time.monotonic() + delay, self.chance.getrandbits(60), pair, content))
+        heapq.heappush(self.waiting, (time.monotonic() + delay, self.rng.getrandbits(60), pair, content))
 
     def _send(self, sender: int, peer: int, content: bytes) -> None:
         with contextlib.suppress(OSError):  # nobody may be there just now
--- a/lab/discovery.py
+++ b/lab/discovery.py
@@ -34,7 +34,7 @@
             self.changed.notify_all()
         self.acceptor.close()
 
-    def tell(
+    def publish(
         self,
         name: str,
         address: tuple[str, int],
--- a/lab/fleet/__main__.py
+++ b/lab/fleet/__main__.py
@@ -13,7 +13,7 @@
 import polars as pl
 
 from lab.fleet import schedule
-from lab.fleet.record import faults, quotas, record, views
+from lab.fleet.record import faults, membership_agreement, quotas, record
 from lab.fleet.site import Site
 
 
@@ -52,20 +52,24 @@
     boxes = 3 if streams else 2
     with Site(size, view, boxes, seed, store, streams) as site:
         if view:
-            click.echo(f"one view after {site.until_agreed(10.0):.2f} s")
+            click.echo(f"one view after {site.wait_for_agreement(10.0):.2f} s")
         offset = site.now()
         site.run(steps, span)
-        settled = site.until_agreed(10.0) if view else 0.0
+        settled = site.wait_for_agreement(10.0) if view else 0.0
         table = record(site)
     verdict = quotas(table)
     asked = table.filter(pl.col("what") == "asked")
     ends = ", ".join(f"{row[1]} {row[0]}" for row in asked.group_by("end").len().sort("end").iter_rows())
     click.echo(f"{asked.height} requests: {ends}")
     click.echo(
-        f"use {verdict.use:.2f} of an allowance at most, {verdict.wrong:.1%} refused though inside quota"
+        f"use {verdict.use:.2f} of an allowance at most, "
+        f"{verdict.refused_share:.1%} refused though inside quota"
     )
     if view:
-        click.echo(f"one view since {views(table).since - offset:.1f} s ({settled:.1f} s after the end)")
+        click.echo(
+            f"one view since {membership_agreement(table).since - offset:.1f} s "
+            f"({settled:.1f} s after the end)"
+        )
     if save is not None:
         table.write_parquet(save)
     if plot is not None:
--- a/lab/fleet/record.py
+++ b/lab/fleet/record.py
@@ -12,17 +12,23 @@
 import polars as pl
 
 from lab.fleet.site import BURST, DEADLINE, RATE, Site
-from lab.quotas import Try, Verdict, judge
+from lab.quotas import QuotaReport, TenantRequest, evaluate_quotas
 
 SCHEMA = {
     "t": pl.Float64, "what": pl.String, "member": pl.Int64, "tenant": pl.String, "ident": pl.String,
     "safe": pl.Boolean, "end": pl.String, "took": pl.Float64, "place": pl.Int64, "state": pl.String,
 }  # fmt: skip
-GRACE = 0.5  # seconds after a word on a drain in which what is on its way still comes
-FALL, FALL_WINDOW = 4.0, 3.0  # a box falls over when sent so many times what it can do, for so many seconds
-MOST_USE = 1.10  # of an allowance in any ten seconds, as promised
-COLD_FROM, COLD_TIME = 0.15, 17.0  # of a core, and seconds until all of it: as in the operator's file
-SLACK = (
+IN_FLIGHT_GRACE_SECONDS = 0.5  # seconds after a word on a drain in which what is on its way still comes
+OVERLOAD_FACTOR, OVERLOAD_WINDOW_SECONDS = (
+    4.0,
+    3.0,
+)  # a box falls over when sent so many times what it can do, for so many seconds
+MAX_QUOTA_USE = 1.10  # of an allowance in any ten seconds, as promised
+COLD_START_SHARE, WARM_UP_SECONDS = (
+    0.15,
+    17.0,
+)  # of a core, and seconds until all of it: as in the operator's file
+LATE_SLACK_SECONDS = (
     0.5  # seconds past its deadline at which an answer counts as late, on a machine that does much at once
 )
 
@@ -35,13 +41,13 @@
             (one.at, "asked", one.member, one.tenant, one.ident, one.safe, one.end, one.took, None, None)
         )
     for number, box in enumerate(site.boxes):
-        for ident, times in box.ran().items():
+        for ident, times in box.run_counts().items():
             rows += [(0.0, "ran", number, None, ident, None, None, None, None, None)] * times
         events = [
             (event.at - site.begin, event.cpu) for event in box.counts.events if event.what == "request"
         ]
         rows += [(at, "came", None, None, None, None, None, cpu, number, None) for at, cpu in events]
-    for at, step in site.done:
+    for at, step in site.executed_steps:
         members = step.members or (None,)
         rows += [
             (at, "step", member, None, None, None, None, step.amount, None, step.what) for member in members
@@ -49,7 +55,7 @@
     for at, member, place, state in site.changes():
         what = "began" if state == "began" else "view"
         rows.append((at, what, member, None, None, None, None, None, place, state))
-    for member, at in site.ends:
+    for member, at in site.process_ends:
         rows.append((at, "ended", member, None, None, None, None, None, None, None))
     return pl.DataFrame(rows, schema=SCHEMA, orient="row").sort("t", maintain_order=True)
 
@@ -80,11 +86,13 @@
     """Answers that came after the caller had given up."""
     answered = pl.col("end").is_in(["served", "refused", "failed"])
     held = table.filter((pl.col("what") == "step") & (pl.col("state") == "hold")).height
-    asked = table.filter((pl.col("what") == "asked") & answered & (pl.col("took") > DEADLINE + SLACK))
+    asked = table.filter(
+        (pl.col("what") == "asked") & answered & (pl.col("took") > DEADLINE + LATE_SLACK_SECONDS)
+    )
     return 0 if held else asked.height
 
 
-def to_drained(table: pl.DataFrame) -> int:
+def requests_to_draining(table: pl.DataFrame) -> int:
     """Requests that came to a box between the word that it drains and the word that it is back."""
     count, words = 0, table.filter((pl.col("what") == "step") & pl.col("state").is_in(["drain", "back"]))
     for row in words.filter(pl.col("state") == "drain").iter_rows(named=True):
@@ -92,7 +100,9 @@
         back = of.filter(pl.col("t") > row["t"])["t"].min()
         until = float(back) if isinstance(back, float) else float("inf")
         came = table.filter((pl.col("what") == "came") & (pl.col("place") == row["member"]))
-        count += came.filter(pl.col("t").is_between(row["t"] + GRACE, until, closed="none")).height
+        count += came.filter(
+            pl.col("t").is_between(row["t"] + IN_FLIGHT_GRACE_SECONDS, until, closed="none")
+        ).height
     return count
 
 
@@ -105,10 +115,12 @@
         work = came.filter(pl.col("t") >= row["t"]).select("t", "took").rows()
         for begin, _ in work:
             age = begin - row["t"]
-            if age < COLD_TIME:
-                sent = sum(cpu for at, cpu in work if begin <= at < begin + FALL_WINDOW)
-                can = COLD_FROM + (1 - COLD_FROM) * min(1.0, (age + FALL_WINDOW / 2) / COLD_TIME)
-                most = max(most, sent / (FALL * can * FALL_WINDOW))
+            if age < WARM_UP_SECONDS:
+                sent = sum(cpu for at, cpu in work if begin <= at < begin + OVERLOAD_WINDOW_SECONDS)
+                can = COLD_START_SHARE + (1 - COLD_START_SHARE) * min(
+                    1.0, (age + OVERLOAD_WINDOW_SECONDS / 2) / WARM_UP_SECONDS
+                )
+                most = max(most, sent / (OVERLOAD_FACTOR * can * OVERLOAD_WINDOW_SECONDS))
     return most
 
 
@@ -125,24 +137,27 @@
     return runs.filter(pl.col("len") > 1).height
 
 
-def quotas(table: pl.DataFrame, members: set[int] | None = None) -> Verdict:
+def quotas(table: pl.DataFrame, members: set[int] | None = None) -> QuotaReport:
     """Use of each tenant over any 10 s, and what was refused; `members`: asked through these alone."""
     rows = table.filter((pl.col("what") == "asked") & pl.col("end").is_in(["served", "refused"]))
     if members is not None:
         rows = rows.filter(pl.col("member").is_in(sorted(members)))
-    tries = [Try(row["t"], row["tenant"], 1.0, row["end"] == "served") for row in rows.iter_rows(named=True)]
-    return judge(tries, RATE, BURST)
+    tries = [
+        TenantRequest(row["t"], row["tenant"], 1.0, row["end"] == "served")
+        for row in rows.iter_rows(named=True)
+    ]
+    return evaluate_quotas(tries, RATE, BURST)
 
 
 @dataclass(slots=True, frozen=True)
-class Views:
+class MembershipAgreement:
     """Whether all that live hold the live for present at the end, and since when."""
 
     agree: bool
     since: float
 
 
-def views(table: pl.DataFrame) -> Views:
+def membership_agreement(table: pl.DataFrame) -> MembershipAgreement:
     """From the changes alone."""
     held: dict[int, set[int]] = {}
     agree, since = False, 0.0
@@ -157,7 +172,7 @@
         now = all(view == set(held) for view in held.values())
         if now != agree:
             agree, since = now, row["t"]
-    return Views(agree, since)
+    return MembershipAgreement(agree, since)
 
 
 def faults(table: pl.DataFrame) -> list[str]:
@@ -168,15 +183,15 @@
         ("answers that came late", late(table)),
         ("requests answered twice", answered_twice(table)),
         ("changes that ran twice", ran_twice(table)),
-        ("requests to a box that drains", to_drained(table)),
+        ("requests to a box that drains", requests_to_draining(table)),
     ):
         if count:
             found.append(f"{count} {name}")
     if (most := pushed(table)) > 1.0:
         found.append(f"a cold box was sent {most:.2f} times what makes it fall")
     verdict = quotas(table)
-    if verdict.use > MOST_USE:
-        found.append(f"{verdict.worst} used {verdict.use:.2f} of its allowance")
-    if not views(table).agree:
+    if verdict.use > MAX_QUOTA_USE:
+        found.append(f"{verdict.worst_tenant} used {verdict.use:.2f} of its allowance")
+    if not membership_agreement(table).agree:
         found.append("views differ at the end")
     return found
--- a/lab/fleet/schedule.py
+++ b/lab/fleet/schedule.py
@@ -83,18 +83,18 @@
 
 def draw(seed: int, size: int, span: float) -> list[Step]:
     """Troubles of all kinds over a span, each over before its last third; the same for the same seed."""
-    chance = random.Random(seed)
-    steps = [Step(0.0, "loss", amount=chance.choice([0.0, 0.03, 0.065]))]
-    steps.append(Step(0.0, "delay", amount=chance.choice([0.0, 0.01, 0.03])))
+    rng = random.Random(seed)
+    steps = [Step(0.0, "loss", amount=rng.choice([0.0, 0.03, 0.065]))]
+    steps.append(Step(0.0, "delay", amount=rng.choice([0.0, 0.01, 0.03])))
     end = span * 2 / 3
-    for _ in range(chance.randint(1, 3)):
-        at, what = chance.uniform(4.0, end / 2), chance.choice(["cut", "kill", "hold", "mute", "block"])
-        some = tuple(sorted(chance.sample(range(size), chance.randint(1, max(1, size // 2)))))
-        later = chance.uniform(at + 1.0, end)
+    for _ in range(rng.randint(1, 3)):
+        at, what = rng.uniform(4.0, end / 2), rng.choice(["cut", "kill", "hold", "mute", "block"])
+        some = tuple(sorted(rng.sample(range(size), rng.randint(1, max(1, size // 2)))))
+        later = rng.uniform(at + 1.0, end)
         if what == "kill":
             steps += [Step(at, "kill", some), Step(later, "start", some)]
         elif what == "hold":
-            steps.append(Step(at, "hold", some[:1], chance.uniform(1.0, 3.0)))
+            steps.append(Step(at, "hold", some[:1], rng.uniform(1.0, 3.0)))
         else:
             steps += [Step(at, what, some[:2] if what == "block" else some), Step(later, "heal")]
     return sorted(steps, key=lambda step: step.at)
--- a/lab/fleet/simulated.py
+++ b/lab/fleet/simulated.py
@@ -23,7 +23,7 @@
         self, size: int, seed: int = 0, loss: float = 0.0, delay: float = 0.01, start: bool = True
     ) -> None:
         self.size, self.loss, self.delay = size, loss, delay
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.now, self.serial = 1e6, 0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.live: dict[int, Membership] = {}
@@ -40,12 +40,12 @@
         """A member begins, or begins anew, with nothing known."""
         self.lives += 1
         boot_time_ms = round((self.now if at is None else at) * 1000) + self.lives
-        chance = random.Random(self.chance.random())
+        rng = random.Random(self.rng.random())
         settings = MemberSettings(member_id, self.size, boot_time_ms, updates_per_datagram(False))
-        membership = Membership(settings, self.now, chance)
+        membership = Membership(settings, self.now, rng)
         self.live[member_id] = membership
         self.stopped.pop(member_id, None)
-        self._after(TICK_SECONDS * chance.random(), lambda: self._tick(member_id, membership))
+        self._after(TICK_SECONDS * rng.random(), lambda: self._tick(member_id, membership))
         return membership
 
     def kill(self, *member_ids: int) -> None:
@@ -62,10 +62,10 @@
         """One stands still, as by SIGSTOP; what comes waits."""
         self.stopped[member_id] = []
 
-    def go_on(self, member_id: int) -> None:
+    def resume(self, member_id: int) -> None:
         """It goes on, and reads what waited."""
         for sender, content in self.stopped.pop(member_id):
-            self._hear(sender, member_id, content)
+            self._deliver(sender, member_id, content)
 
     def run(self, seconds: float) -> None:
         """Lets time pass."""
@@ -84,7 +84,7 @@
             self.run(0.1)
         return self.now - began
 
-    def agree(self, alive: set[int] | None = None) -> bool:
+    def all_agree(self, alive: set[int] | None = None) -> bool:
         """All live members hold the live, and nobody else, for alive."""
         wanted = set(self.live) if alive is None else alive
         return all(membership.alive_ids() == wanted for membership in self.live.values())
@@ -106,16 +106,16 @@
             content = encode(send.message, KEY, False)
             assert len(content) <= 256
             to = send.to
-            if self.blocked(sender, to) or self.chance.random() < self.loss:
+            if self.blocked(sender, to) or self.rng.random() < self.loss:
                 continue
-            self._post(sender, to, content, self.delay * self.chance.uniform(0.3, 1.7))
-            if self.chance.random() < self.again:
-                self._post(sender, to, content, self.chance.uniform(0.0, 3.0))
+            self._post(sender, to, content, self.delay * self.rng.uniform(0.3, 1.7))
+            if self.rng.random() < self.again:
+                self._post(sender, to, content, self.rng.uniform(0.0, 3.0))
 
     def _post(self, sender: int, to: int, content: bytes, delay: float) -> None:
-        self._after(delay, lambda: self._hear(sender, to, content))
+        self._after(delay, lambda: self._deliver(sender, to, content))
 
-    def _hear(self, sender: int, to: int, content: bytes) -> None:
+    def _deliver(self, sender: int, to: int, content: bytes) -> None:
         if to in self.stopped:
             self.stopped[to].append((sender, content))
             return
--- a/lab/fleet/site.py
+++ b/lab/fleet/site.py
@@ -16,20 +16,20 @@
 from zlib import crc32
 
 from lab.box import Box
-from lab.callers import UnheardError, command, kind_of, read
-from lab.datagrams import Datagrams
+from lab.callers import ClosedWithoutReplyError, command, read, reply_outcome
+from lab.datagrams import DatagramProxy
 from lab.discovery import Discovery
 from lab.fleet.schedule import ON_STREAMS, TO_BOXES, Step
-from lab.processes import LIMIT, Ingress
-from lab.quotas import Try
-from lab.streams import Streams
+from lab.processes import WAIT_LIMIT_SECONDS, Ingress
+from lab.quotas import TenantRequest
+from lab.streams import TcpProxy
 
 RATE, BURST = 4.0, 12.0  # of each tenant's plan, in requests of one unit
-NOTICED = (0.9, 3.1)  # seconds for which a front goes on sending to a dead ingress
+FAILURE_DETECTION_SECONDS = (0.9, 3.1)  # seconds for which a front goes on sending to a dead ingress
 DEADLINE = 3.0
 HEAVY, CALM = 3, 6  # tenants
-WORK = 0.05  # processor seconds of a request at a box of one core, where streams are relayed
-FILE = """
+REQUEST_CPU_SECONDS = 0.05  # processor seconds of a request at a box of one core, where streams are relayed
+SETTINGS_TEMPLATE = """
 name      n{number}
 listen    127.0.0.1:0
 ops       127.0.0.1:0
@@ -57,13 +57,13 @@
 {fleet}
 {store}
 """
-AIM = 1 / 3  # of the deadline
-NETWORK = ("loss", "again", "noise", "delay")
-CHANGE = re.compile(r"^(\d+\.\d+) fleet: place (\d+): .+? -> (\w+)")
+AIM_FRACTION = 1 / 3  # of the deadline
+DATAGRAM_SETTINGS = ("loss", "again", "noise", "delay")
+STATE_CHANGE_LINE = re.compile(r"^(\d+\.\d+) fleet: place (\d+): .+? -> (\w+)")
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
+class RequestRecord:
     """One request: when it was sent, to whom, and how it ended after how long."""
 
     at: float
@@ -103,7 +103,7 @@
         store: bool = False,
         streams: bool = False,
         deployment: Deployment | None = None,
-        work: float = WORK,
+        work: float = REQUEST_CPU_SECONDS,
         cores: float = 1.0,
         relayed: bool = True,
     ) -> None:
@@ -115,26 +115,26 @@
         self.size, self.view, self.seed, self.store = size, view, seed, store
         self.stack = ExitStack()
         self.folder = Path(self.stack.enter_context(tempfile.TemporaryDirectory()))
-        self.network = self.stack.enter_context(Datagrams(size, seed=seed))
+        self.network = self.stack.enter_context(DatagramProxy(size, seed=seed))
         work, cores = (work, cores) if streams else (0.0, 0.0)
         self.boxes = [self.stack.enter_context(Box(work=work, cores=cores)) for _ in range(boxes)]
-        self.streams: Streams | None = None
+        self.streams: TcpProxy | None = None
         # one for each ingress, as each sees the boxes at the relay's addresses for it
         self.lists = [self.stack.enter_context(Discovery(0.5)) for _ in range(size if streams else 0)]
         if streams:
-            ends = [box.address for box in self.boxes] + [one.address for one in self.lists]
-            self.streams = self.stack.enter_context(Streams(size, ends))
+            endpoints = [box.address for box in self.boxes] + [one.address for one in self.lists]
+            self.streams = self.stack.enter_context(TcpProxy(size, endpoints))
             for number in range(boxes):
-                self._tell(number)
+                self._publish_box(number)
         self.live: dict[int, Ingress] = {}
         self.addresses: dict[int, tuple[str, int]] = {}
-        self.lives: list[tuple[int, float, Ingress]] = []  # member, when it began, its process
-        self.ends: list[tuple[int, float]] = []  # of lives, by member
+        self.process_runs: list[tuple[int, float, Ingress]] = []  # member, when it began, its process
+        self.process_ends: list[tuple[int, float]] = []  # of lives, by member
         self.down_since: dict[int, float] = {}
         self.killed: set[int] = set()  # what was under way there may have run
-        self.asked: list[Asked] = []
+        self.asked: list[RequestRecord] = []
         self.runs = 0  # so many spans were played
-        self.done: list[tuple[float, Step]] = []
+        self.executed_steps: list[tuple[float, Step]] = []
         self.begin = time.time()
         try:
             self.start(*range(size))
@@ -168,7 +168,7 @@
             path = self.folder / f"{member}.conf"
             self.live[member] = ingress = Ingress(path, environment=environment, module=module)
             self.stack.callback(ingress.end)
-            self.lives.append((member, self.now(), ingress))
+            self.process_runs.append((member, self.now(), ingress))
         for member in members:
             self.addresses[member] = self.live[member].address()
             self.down_since.pop(member, None)
@@ -177,24 +177,24 @@
     def configure(self, member: int, deployment: Deployment, watched: int | None = None) -> None:
         """Writes an ingress's file; `watched`: by whose list it finds boxes, by default its own."""
         lines = ["peer-listen {}:{}".format(*self.network.real[member])]
-        lines += ["peer {}:{}".format(*address) for address in self.network.seen_by(member)]
+        lines += ["peer {}:{}".format(*address) for address in self.network.addresses_for(member)]
         hops = [
             "next-hop s-{} {{\n    address {}:{}\n}}".format(n, *box.address)
             for n, box in enumerate(self.boxes)
         ]
         if self.streams is not None:
             watched = member if watched is None else watched
-            hops = ["discovery {}:{}".format(*self.streams.seen_by(member)[len(self.boxes) + watched])]
+            hops = ["discovery {}:{}".format(*self.streams.addresses_for(member)[len(self.boxes) + watched])]
         (self.folder / f"{member}.conf").write_text(
-            FILE.format(
+            SETTINGS_TEMPLATE.format(
                 number=member,
                 ingresses=self.size,
                 rate=deployment.rate,
                 burst=deployment.burst,
                 sockets=deployment.sockets,
-                look_aim=_milliseconds(AIM * deployment.look_deadline),
+                look_aim=_milliseconds(AIM_FRACTION * deployment.look_deadline),
                 look_deadline=_milliseconds(deployment.look_deadline),
-                change_aim=_milliseconds(AIM * deployment.change_deadline),
+                change_aim=_milliseconds(AIM_FRACTION * deployment.change_deadline),
                 change_deadline=_milliseconds(deployment.change_deadline),
                 peers="\n".join(lines),
                 boxes="\n".join(hops),
@@ -212,7 +212,7 @@
         for member in members:
             self.down_since[member] = self.now()
             self.killed.add(member)
-            self.ends.append((member, self.now()))
+            self.process_ends.append((member, self.now()))
             self.live[member].process.kill()
         for member in members:
             self.live.pop(member).process.wait()
@@ -223,20 +223,20 @@
             self.down_since[member] = self.now()
             self.live[member].signal(signal.SIGTERM)
         for member in members:
-            self.live.pop(member).process.wait(LIMIT)
-            self.ends.append((member, self.now()))
+            self.live.pop(member).process.wait(WAIT_LIMIT_SECONDS)
+            self.process_ends.append((member, self.now()))
 
     def do(self, step: Step) -> None:
         """Carries one step out."""
         members, others = set(step.members), set(range(self.size)) - set(step.members)
         if step.what == "cut":
-            self.network.part(members, others)
+            self.network.partition(members, others)
         elif step.what == "block":
             self.network.blocked |= {(a, b) for a in members for b in members if a != b}
         elif step.what == "mute":
             self.network.blocked |= {(a, b) for a in members for b in others}
         elif step.what == "heal":
-            self.network.part()
+            self.network.partition()
         elif step.what in ("kill", "start", "stop"):
             there = [m for m in step.members if (m in self.live) != (step.what == "start")]
             getattr(self, step.what)(*there)
@@ -257,34 +257,38 @@
             for number in step.members:
                 if step.what == "back":
                     self.boxes[number].restart()
-                self._tell(number, "DRAINING" if step.what == "drain" else "SERVING")
-        elif step.what in NETWORK:
+                self._publish_box(number, "DRAINING" if step.what == "drain" else "SERVING")
+        elif step.what in DATAGRAM_SETTINGS:
             setattr(self.network, step.what, step.amount)
         else:
             raise ValueError(f"{step.what} needs a site with streams")
-        self.done.append((self.now(), step))
+        self.executed_steps.append((self.now(), step))
 
-    def _tell(self, number: int, phase: str = "SERVING") -> None:
+    def _publish_box(self, number: int, phase: str = "SERVING") -> None:
         """Discovery's word on a box, to each ingress with the address at which that one sees it."""
         for member, one in enumerate(self.lists):
             assert self.streams is not None
-            address = self.streams.seen_by(member)[number] if self.relayed else self.boxes[number].address
-            one.tell(f"s-{number}", address, phase, up_since=self.boxes[number].started)
+            address = (
+                self.streams.addresses_for(member)[number] if self.relayed else self.boxes[number].address
+            )
+            one.publish(f"s-{number}", address, phase, up_since=self.boxes[number].started)
 
     def run(self, steps: list[Step], span: float, load: bool = True) -> None:
         """Plays a schedule, with callers all the while; may be called again, and the next span follows."""
         self.runs += 1
         began = self.now()
-        askers = [threading.Thread(target=self._ask, args=(n, span), daemon=True) for n in range(self.size)]
-        for asker in askers if load else ():
-            asker.start()
+        caller_threads = [
+            threading.Thread(target=self._run_callers, args=(n, span), daemon=True) for n in range(self.size)
+        ]
+        for caller_thread in caller_threads if load else ():
+            caller_thread.start()
         for step in steps:
             time.sleep(max(0.0, began + step.at - self.now()))
             self.do(step)
         time.sleep(max(0.0, began + span - self.now()))
-        for asker in askers if load else ():
-            asker.join(span + LIMIT)
-            assert not asker.is_alive()  # a history cut short proves nothing
+        for caller_thread in caller_threads if load else ():
+            caller_thread.join(span + WAIT_LIMIT_SECONDS)
+            assert not caller_thread.is_alive()  # a history cut short proves nothing
 
     # Callers: one thread for what the fronts deal out to one ingress.
 
@@ -292,34 +296,36 @@
         """Each tenant and how many times its rate it asks for."""
         return {f"heavy{n}": 2.0 for n in range(HEAVY)} | {f"calm{n}": 0.3 for n in range(CALM)}
 
-    def _ask(self, number: int, span: float) -> None:
+    def _run_callers(self, number: int, span: float) -> None:
         span_name = "" if self.runs == 1 else f"r{self.runs}"
-        chance = random.Random(f"{self.seed} {number}{span_name}")
+        rng = random.Random(f"{self.seed} {number}{span_name}")
         due = sorted(
             (at, tenant)
             for tenant, times in self.tenants().items()
-            for at in _arrivals(chance, span, times * RATE / self.size)
+            for at in _arrivals(rng, span, times * RATE / self.size)
         )
         socks: dict[int, socket.socket] = {}
         began = time.monotonic()
         for serial, (at, tenant) in enumerate(due):
             time.sleep(max(0.0, began + at - time.monotonic()))
-            member = self._dealt(number, chance)
-            ident, safe = f"{self.seed:x}{span_name}n{number}s{serial}", chance.random() < 0.8
+            member = self._choose_member(number, rng)
+            ident, safe = f"{self.seed:x}{span_name}n{number}s{serial}", rng.random() < 0.8
             sent, begun = self.now(), time.monotonic()
-            end = self._one(socks, member, tenant, ident, safe)
-            self.asked.append(Asked(sent, tenant, member, ident, safe, end, time.monotonic() - begun))
+            end = self._send_request(socks, member, tenant, ident, safe)
+            self.asked.append(RequestRecord(sent, tenant, member, ident, safe, end, time.monotonic() - begun))
         for sock in socks.values():
             sock.close()
 
-    def _dealt(self, number: int, chance: random.Random) -> int:
+    def _choose_member(self, number: int, rng: random.Random) -> int:
         """The front goes on sending to a dead ingress until it notices."""
-        notice = random.Random(f"{number} {self.down_since.get(number)}").uniform(*NOTICED)
+        notice = random.Random(f"{number} {self.down_since.get(number)}").uniform(*FAILURE_DETECTION_SECONDS)
         if self.now() - self.down_since.get(number, self.now()) < notice or len(self.down_since) >= self.size:
             return number
-        return chance.choice([m for m in range(self.size) if m not in self.down_since] or [number])
+        return rng.choice([m for m in range(self.size) if m not in self.down_since] or [number])
 
-    def _one(self, socks: dict[int, socket.socket], member: int, tenant: str, ident: str, safe: bool) -> str:
+    def _send_request(
+        self, socks: dict[int, socket.socket], member: int, tenant: str, ident: str, safe: bool
+    ) -> str:
         options = b"c=%b,t=plain,d=%d,units=1,spread=%d,first=0" % (
             b"look" if safe else b"change",
             round(DEADLINE * 1000),
@@ -336,24 +342,24 @@
                     socks[member].settimeout(DEADLINE + 1.0)
                     socks[member].setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 socks[member].sendall(text)
-                return kind_of(read(socks[member]))
+                return reply_outcome(read(socks[member]))
             except OSError as error:
                 if member in socks:
                     socks.pop(member).close()
                 if isinstance(error, ConnectionRefusedError):
                     return "down"
                 # closed between two commands as this one crossed it: sent once more, on a new connection
-                crossed = isinstance(error, UnheardError) and member not in self.killed
+                crossed = isinstance(error, ClosedWithoutReplyError) and member not in self.killed
                 if not kept or not crossed:
                     return "lost"
         return "lost"
 
     # What is seen of it.
 
-    def tries(self) -> list[Try]:
-        """The tenants' history, for lab.quotas.judge."""
+    def quota_history(self) -> list[TenantRequest]:
+        """The tenants' history, for lab.quotas.evaluate_quotas."""
         return [
-            Try(one.at, one.tenant, 1.0, one.end == "served")
+            TenantRequest(one.at, one.tenant, 1.0, one.end == "served")
             for one in self.asked
             if one.end in ("served", "refused")
         ]
@@ -361,14 +367,14 @@
     def changes(self) -> list[tuple[float, int, int, str]]:
         """From the logs: when, whose view, of which place, and what it is held for now."""
         found = []
-        for member, began, ingress in self.lives:
+        for member, began, ingress in self.process_runs:
             found.append((began, member, member, "began"))
             for line in list(ingress.log):
-                if (match := CHANGE.match(line)) is not None and int(match[2]) != member:
+                if (match := STATE_CHANGE_LINE.match(line)) is not None and int(match[2]) != member:
                     found.append((float(match[1]) - self.begin, member, int(match[2]), match[3]))
         return sorted(found, key=lambda change: change[0])  # within a moment as they were logged
 
-    def views(self) -> dict[int, set[int]]:
+    def membership_views(self) -> dict[int, set[int]]:
         """Whom each live ingress holds for present."""
         views: dict[int, set[int]] = {}
         for _, member, place, state in self.changes():
@@ -380,14 +386,14 @@
                 views[member].discard(place)
         return {member: view for member, view in views.items() if member in self.live}
 
-    def agree(self) -> bool:
+    def all_agree(self) -> bool:
         """All live ingresses hold the live, and nobody else, for present."""
-        return all(view == set(self.live) for view in self.views().values())
+        return all(view == set(self.live) for view in self.membership_views().values())
 
-    def until_agreed(self, limit: float) -> float:
+    def wait_for_agreement(self, limit: float) -> float:
         """Seconds until they do; `limit` where they don't by then."""
         began = time.monotonic()
-        while not self.agree():
+        while not self.all_agree():
             if time.monotonic() - began > limit:
                 return limit
             time.sleep(0.05)
@@ -398,8 +404,8 @@
     return f"{seconds * 1000:.0f}ms"
 
 
-def _arrivals(chance: random.Random, span: float, rate: float) -> list[float]:
+def _arrivals(rng: random.Random, span: float, rate: float) -> list[float]:
     at, times = 0.0, []
-    while (at := at + chance.expovariate(rate)) < span:
+    while (at := at + rng.expovariate(rate)) < span:
         times.append(at)
     return times
--- a/lab/processes.py
+++ b/lab/processes.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 ROOT = Path(__file__).parent.parent
-LIMIT = 20.0  # seconds after which what was waited for never comes
+WAIT_LIMIT_SECONDS = 20.0  # seconds after which what was waited for never comes
 
 
 class Ingress:
@@ -38,33 +38,33 @@
             pass_fds=passed,
         )
         self.log: list[str] = []
-        self.more = threading.Condition()
+        self.log_changed = threading.Condition()
         self.reader = threading.Thread(target=self._read, daemon=True)
         self.reader.start()
 
     def _read(self) -> None:
         assert self.process.stderr is not None
         for line in self.process.stderr:
-            with self.more:
+            with self.log_changed:
                 self.log.append(line.decode("utf-8", "replace").rstrip())
-                self.more.notify_all()
+                self.log_changed.notify_all()
 
-    def logged(self, pattern: str, limit: float = LIMIT) -> re.Match[str]:
+    def wait_for_log(self, pattern: str, limit: float = WAIT_LIMIT_SECONDS) -> re.Match[str]:
         """Waits for a line of the log."""
         end, at = time.monotonic() + limit, 0
         while True:
-            with self.more:
+            with self.log_changed:
                 while at < len(self.log):
                     if match := re.search(pattern, self.log[at]):
                         return match
                     at += 1
                 if time.monotonic() > end or self.process.poll() is not None:
                     raise TimeoutError(f"no '{pattern}' in the log: {self.log[-5:]}")
-                self.more.wait(0.1)
+                self.log_changed.wait(0.1)
 
     def address(self) -> tuple[str, int]:
         """Where it listens, once it is ready."""
-        match = self.logged(r"ready \S+ on ([\d.]+):(\d+)")
+        match = self.wait_for_log(r"ready \S+ on ([\d.]+):(\d+)")
         return match[1], int(match[2])
 
     def cpu(self) -> float:
@@ -72,13 +72,13 @@
         text = Path(f"/proc/{self.process.pid}/schedstat").read_text()
         return int(text.split()[0]) / 1e9
 
-    def rss(self) -> float:
+    def rss_mb(self) -> float:
         """Resident megabytes."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         found = re.search(r"VmRSS:\s+(\d+)", status)
         return int(found[1]) / 1024 if found else 0.0
 
-    def peak(self) -> float:
+    def peak_rss_mb(self) -> float:
         """The most resident megabytes that it has had."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         found = re.search(r"VmHWM:\s+(\d+)", status)
@@ -93,11 +93,11 @@
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(signal.SIGTERM)
         try:
-            self.process.wait(LIMIT)
+            self.process.wait(WAIT_LIMIT_SECONDS)
         except subprocess.TimeoutExpired:
             self.process.kill()
             self.process.wait()
-        self.reader.join(LIMIT)
+        self.reader.join(WAIT_LIMIT_SECONDS)
         if self.process.stderr is not None:
             self.process.stderr.close()
         return self.process.returncode
--- a/lab/quotas.py
+++ b/lab/quotas.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Try:
+class TenantRequest:
     """One request of a tenant, answered at `at` seconds: its units ran, or were refused."""
 
     at: float
@@ -24,68 +24,77 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Verdict:
+class QuotaReport:
     """Of all tenants, units: how far use went, and what was refused though it was inside quota."""
 
     tenants: int
     use: float  # greatest of any tenant over any 10 s, as a part of the allowance
-    worst: str  # that tenant
-    inside: float  # units that a store which sees everything lets in
-    short: float  # of them, units that did not run
-    calm: float  # units asked for by tenants that were inside quota throughout
-    refused_calm: float  # of them, units that did not run
+    worst_tenant: str  # that tenant
+    within_quota: float  # units that a store which sees everything lets in
+    shortfall: float  # of them, units that did not run
+    compliant_units: float  # units asked for by tenants that were inside quota throughout
+    refused_compliant_units: float  # of them, units that did not run
 
     @property
-    def wrong(self) -> float:
+    def refused_share(self) -> float:
         """The part of what was inside quota that was refused."""
-        return self.short / self.inside if self.inside else 0.0
+        return self.shortfall / self.within_quota if self.within_quota else 0.0
 
     @property
-    def wrong_calm(self) -> float:
+    def compliant_refused_share(self) -> float:
         """The same for tenants that never asked for more than their quota."""
-        return self.refused_calm / self.calm if self.calm else 0.0
+        return self.refused_compliant_units / self.compliant_units if self.compliant_units else 0.0
 
 
-def judge(history: Iterable[Try], rate: float, burst: float) -> Verdict:
+def evaluate_quotas(history: Iterable[TenantRequest], rate: float, burst: float) -> QuotaReport:
     """The verdict on a history in any order. ValueError where the plan allows nothing."""
     allowance = burst + WINDOW * rate
     if allowance <= 0:
         raise ValueError("a plan without an allowance can't be judged")
-    of: dict[str, list[Try]] = defaultdict(list)
+    of: dict[str, list[TenantRequest]] = defaultdict(list)
     for one in history:
         of[one.tenant].append(one)
-    use, worst, inside, short, calm, refused_calm = 0.0, "", 0.0, 0.0, 0.0, 0.0
+    use, worst_tenant, within_quota, shortfall, compliant_units, refused_compliant_units = (
+        0.0,
+        "",
+        0.0,
+        0.0,
+        0.0,
+        0.0,
+    )
     for tenant, tries in of.items():
         tries.sort(key=lambda one: one.at)
         most = _most(tries) / allowance
         if most > use:
-            use, worst = most, tenant
+            use, worst_tenant = most, tenant
         ideal = _ideal(tries, rate, burst)
         asked, ran = sum(one.units for one in tries), sum(one.units for one in tries if one.ran)
-        inside += ideal
-        short += max(0.0, ideal - ran)
+        within_quota += ideal
+        shortfall += max(0.0, ideal - ran)
         if ideal == asked:
-            calm += asked
-            refused_calm += asked - ran
-    return Verdict(len(of), use, worst, inside, short, calm, refused_calm)
+            compliant_units += asked
+            refused_compliant_units += asked - ran
+    return QuotaReport(
+        len(of), use, worst_tenant, within_quota, shortfall, compliant_units, refused_compliant_units
+    )
 
 
-def _most(tries: Sequence[Try]) -> float:
+def _most(tries: Sequence[TenantRequest]) -> float:
     """Most units that ran within any window; one that ran a whole window ago is outside."""
-    held: deque[Try] = deque()
+    window: deque[TenantRequest] = deque()
     total = most = 0.0
     for one in tries:
         if not one.ran:
             continue
-        held.append(one)
+        window.append(one)
         total += one.units
-        while held[0].at <= one.at - WINDOW:
-            total -= held.popleft().units
+        while window[0].at <= one.at - WINDOW:
+            total -= window.popleft().units
         most = max(most, total)
     return most
 
 
-def _ideal(tries: Sequence[Try], rate: float, burst: float) -> float:
+def _ideal(tries: Sequence[TenantRequest], rate: float, burst: float) -> float:
     """Units that the store which sees everything lets in."""
     room, at, let_in = burst, tries[0].at, 0.0
     for one in tries:
--- a/lab/relay.py
+++ b/lab/relay.py
@@ -19,7 +19,7 @@
         self.to = to
         self.up: int | None = None
         self.down: int | None = None
-        self.carried: list[list[int]] = []  # [up, down] of each connection
+        self.bytes_forwarded: list[list[int]] = []  # [up, down] of each connection
         self.ended = threading.Semaphore(0)
         self.acceptor = Acceptor(self._serve)
         self.address = self.acceptor.address
@@ -39,20 +39,20 @@
         for sock in (near, far):
             sock.settimeout(20.0)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        carried, left = [0, 0], [2]
-        self.carried.append(carried)
-        for way, (source, sink, most) in enumerate([(near, far, self.up), (far, near, self.down)]):
-            args = (source, sink, most, carried, way, left)
-            threading.Thread(target=self._carry, args=args, daemon=True).start()
+        bytes_forwarded, open_directions = [0, 0], [2]
+        self.bytes_forwarded.append(bytes_forwarded)
+        for direction, (source, sink, most) in enumerate([(near, far, self.up), (far, near, self.down)]):
+            args = (source, sink, most, bytes_forwarded, direction, open_directions)
+            threading.Thread(target=self._forward, args=args, daemon=True).start()
 
-    def _carry(
+    def _forward(
         self,
         source: socket.socket,
         sink: socket.socket,
         most: int | None,
-        carried: list[int],
-        way: int,
-        left: list[int],
+        bytes_forwarded: list[int],
+        direction: int,
+        open_directions: list[int],
     ) -> None:
         cut = False
         try:
@@ -61,17 +61,17 @@
                 if not data:
                     sink.shutdown(socket.SHUT_WR)
                     break
-                if most is not None and carried[way] + len(data) >= most:
-                    data, cut = data[: most - carried[way]], True
+                if most is not None and bytes_forwarded[direction] + len(data) >= most:
+                    data, cut = data[: most - bytes_forwarded[direction]], True
                 sink.sendall(data)
-                carried[way] += len(data)
+                bytes_forwarded[direction] += len(data)
         except OSError:
             cut = True
         if cut:
             for sock in (source, sink):
                 reset(sock)
-        left[0] -= 1
-        if not left[0]:
+        open_directions[0] -= 1
+        if not open_directions[0]:
             source.close()
             sink.close()
             self.ended.release()
--- a/lab/shutdown.py
+++ b/lab/shutdown.py
@@ -21,18 +21,20 @@
 
 from lab.callers import command
 
-LONGEST_COUNTED = 3.0  # seconds that a longest deadline counts as at most (protocol page, planned restarts)
-KILL_AFTER = 0.7  # seconds beyond it after which SIGKILL may come, from SIGTERM
-CROSSING = 0.02  # seconds before a connection's end in which what was sent has crossed it
-AFTER_KILL = 0.3  # seconds in which what was written before SIGKILL is read
+MAX_COUNTED_DEADLINE_SECONDS = (
+    3.0  # seconds that a longest deadline counts as at most (protocol page, planned restarts)
+)
+KILL_DELAY_SECONDS = 0.7  # seconds beyond it after which SIGKILL may come, from SIGTERM
+IN_FLIGHT_SECONDS = 0.02  # seconds before a connection's end in which what was sent has crossed it
+READ_AFTER_KILL_SECONDS = 0.3  # seconds in which what was written before SIGKILL is read
 
 
 def kill_time(longest_deadline: float) -> float:
     """Seconds from SIGTERM to the earliest SIGKILL, for a deployment's longest deadline in seconds."""
-    return min(longest_deadline, LONGEST_COUNTED) + KILL_AFTER
+    return min(longest_deadline, MAX_COUNTED_DEADLINE_SECONDS) + KILL_DELAY_SECONDS
 
 
-def starved_seconds(pid: int) -> float:
+def run_queue_wait_seconds(pid: int) -> float:
     """How long a process has been ready to run and had no processor; 0 where the kernel does not count it.
 
     SIGKILL is put off by that, so that no verdict depends on what else the machine does.
@@ -50,7 +52,7 @@
     at: float
     safe: bool
     tenant: int | None = None  # None: one of its own
-    patience: float | None = None
+    timeout: float | None = None
 
 
 @dataclass(slots=True)
@@ -61,7 +63,7 @@
     safe: bool
     at: float
     tenant: int = 0
-    patience: float = 0.0
+    timeout: float = 0.0
     answer: bytes = b""
     answered_at: float | None = None
 
@@ -75,8 +77,8 @@
 
     sends: list[Send]
     connects_at: float = -1.0
-    leaves_at: float | None = None
-    stays: bool = False
+    disconnects_at: float | None = None
+    open_until_kill: bool = False
     sock: socket.socket | None = None
     sent: list[Sent] = field(default_factory=list)
     connected_at: float | None = None
@@ -105,7 +107,7 @@
     wait: float,
     arrived: Collection[str],
     signals: Iterable[tuple[float, int]] = (),
-    put_off: bool = True,
+    extend_by_starvation: bool = True,
     first_serial: int = 0,
     spread: int = 1,
     prepare: Callable[[float, int], None] = lambda at, number: None,
@@ -122,8 +124,10 @@
     play.zero = time.monotonic() - begin
     due = sorted([(0.0, int(signal.SIGTERM)), *signals])
     kill_at, ended_at, terminated = kill_time(longest_deadline), None, 0.0
-    starved = starved_seconds(process.pid)
-    while (now := play.now()) < kill_at + put_off * (starved_seconds(process.pid) - starved):
+    starved = run_queue_wait_seconds(process.pid)
+    while (now := play.now()) < kill_at + extend_by_starvation * (
+        run_queue_wait_seconds(process.pid) - starved
+    ):
         while due and due[0][0] <= now:
             at, number = due.pop(0)
             prepare(at, number)
@@ -138,7 +142,7 @@
     process.kill()
     killed_at = play.now()
     process.wait()
-    while play.now() < killed_at + AFTER_KILL:
+    while play.now() < killed_at + READ_AFTER_KILL_SECONDS:
         play.read(0.01)
     play.close()
     everything = [sent for client in clients for sent in client.sent]
@@ -151,7 +155,7 @@
     if sent.answered_at is not None:
         return False
     in_order = client.ended_by == "closed" and client.ended_at is not None
-    return not in_order or sent.at < (client.ended_at or 0.0) - CROSSING or sent.ident in arrived
+    return not in_order or sent.at < (client.ended_at or 0.0) - IN_FLIGHT_SECONDS or sent.ident in arrived
 
 
 class _Play:
@@ -185,8 +189,8 @@
         self._plan_at(client.connects_at, lambda: self._connect(client))
         for send in client.sends:
             self._plan_at(max(send.at, client.connects_at), lambda send=send: self._send(client, send))  # type: ignore[misc]
-        if client.leaves_at is not None:
-            self._plan_at(client.leaves_at, lambda: self._leave(client))
+        if client.disconnects_at is not None:
+            self._plan_at(client.disconnects_at, lambda: self._leave(client))
 
     def _plan_at(self, at: float, act: Callable[[], None]) -> None:
         heapq.heappush(self.due, (at, next(self.order), act))
@@ -213,9 +217,9 @@
         self.serial += 1
         ident, safe = f"{self.serial:016x}", send.safe
         tenant = self.serial if send.tenant is None else send.tenant
-        patience = self.wait if send.patience is None else send.patience
+        timeout = self.wait if send.timeout is None else send.timeout
         kind = "look" if safe else "change"
-        options = f"c={kind},t=plain,d={patience * 1000:.0f},units=1,spread={self.spread},first=0"
+        options = f"c={kind},t=plain,d={timeout * 1000:.0f},units=1,spread={self.spread},first=0"
         parts = [b"Q.ASK" if safe else b"Q.DO", b"%016x" % tenant, ident.encode(), options.encode()]
         try:
             client.sock.sendall(command(parts))
@@ -223,7 +227,7 @@
             self._ended(client, "reset")
             return
         at = self.now()  # a request's time counts from its last byte
-        client.sent.append(Sent(ident, safe, at, tenant, patience))
+        client.sent.append(Sent(ident, safe, at, tenant, timeout))
 
     def read(self, pause: float) -> None:
         """Reads what has come, waiting so many seconds for it."""
@@ -262,7 +266,7 @@
         sock, client.sock = client.sock, None
         if sock is not None:
             self.selector.unregister(sock)
-            if client.stays and how == "closed":
+            if client.open_until_kill and how == "closed":
                 self.kept.append(sock)
             else:
                 with contextlib.suppress(OSError):
--- a/lab/soak/__main__.py
+++ b/lab/soak/__main__.py
@@ -15,13 +15,13 @@
 import click
 
 from lab.known_red import FILE_NAME, Kind, load
-from lab.soak.checks import broken
+from lab.soak.checks import rule_violations
 from lab.soak.plan import draw
-from lab.soak.play import Soak
+from lab.soak.play import SoakRunner
 from lab.soak.record import table
 
 SEED_TIMEOUT_SECONDS = 180
-SHOWN_FAULTS = 12  # of one seed
+MAX_SHOWN_FAULTS = 12  # of one seed
 
 
 @click.command()
@@ -33,7 +33,7 @@
 def main(first_seed: int, seeds: int, at_once: int, found: Path, without_known: bool) -> None:
     """Plays seeds and says what broke."""
     if seeds == 1:
-        sys.exit(_play(first_seed, found))
+        sys.exit(_play_here(first_seed, found))
     known = {entry.seed for entry in load(Path.cwd()) if entry.kind is Kind.SOAK} if without_known else set()
     numbers = [seed for seed in range(first_seed, first_seed + seeds) if seed not in known]
     if len(numbers) < seeds:
@@ -41,14 +41,16 @@
     began = time.monotonic()
     with ThreadPoolExecutor(at_once) as pool:
         failed = 0
-        for number, (status, said) in enumerate(pool.map(lambda seed: _apart(seed, found), numbers), 1):
+        for number, (status, said) in enumerate(
+            pool.map(lambda seed: _play_in_subprocess(seed, found), numbers), 1
+        ):
             failed += status != 0
             click.echo(f"[{number}/{len(numbers)}, {time.monotonic() - began:.0f} s] {said.rstrip()}")
     click.echo(f"{len(numbers) - failed} of {len(numbers)} seeds from {first_seed} on held, {failed} failed")
     sys.exit(bool(failed))
 
 
-def _apart(seed: int, found: Path) -> tuple[int, str]:
+def _play_in_subprocess(seed: int, found: Path) -> tuple[int, str]:
     """Plays a seed in a process of its own; its status, and what it said."""
     command = [sys.executable, "-m", "lab.soak", "--first-seed", str(seed), "--found", str(found)]
     try:
@@ -60,32 +62,33 @@
     return ran.returncode, ran.stdout + ran.stderr
 
 
-def _play(seed: int, found: Path) -> int:
+def _play_here(seed: int, found: Path) -> int:
     """Plays one seed here, and prints its line."""
     run = draw(seed)
-    played = Soak(run).play()
-    kept = table(played.rows)
-    faults = broken(run, kept)
-    asked = kept.filter(kept["what"] == "asked").height
+    played = SoakRunner(run).play()
+    records = table(played.rows)
+    faults = rule_violations(run, records)
+    asked = records.filter(records["what"] == "asked").height
     crowd = ", crowd" if run.crowd else ""
     shape = (
-        f"{run.ingresses} ingresses, {sum(map(len, run.lives))} lives, deadline {run.longest_deadline}{crowd}"
+        f"{run.ingresses} ingresses, {sum(map(len, run.process_runs))} lives, "
+        f"deadline {run.longest_deadline}{crowd}"
     )
     if not faults:
         click.echo(f"seed {seed}: held ({shape}, {asked} requests)")
         return 0
     folder = found / f"seed-{seed}"
     folder.mkdir(parents=True, exist_ok=True)
-    kept.write_parquet(folder / "record.parquet")
+    records.write_parquet(folder / "record.parquet")
     (folder / "ingresses.log").write_text("\n".join(played.logs) + "\n")
     from lab.soak.timeline import draw as draw_timeline
 
-    draw_timeline(kept, f"seed {seed}: {faults[0]}", folder / "timeline.png")
+    draw_timeline(records, f"seed {seed}: {faults[0]}", folder / "timeline.png")
     click.echo(f"seed {seed}: FAILED ({shape}, {asked} requests)")
-    for fault in faults[:SHOWN_FAULTS]:
+    for fault in faults[:MAX_SHOWN_FAULTS]:
         click.echo(f"    {fault}")
-    if len(faults) > SHOWN_FAULTS:
-        click.echo(f"    and {len(faults) - SHOWN_FAULTS} more")
+    if len(faults) > MAX_SHOWN_FAULTS:
+        click.echo(f"    and {len(faults) - MAX_SHOWN_FAULTS} more")
     click.echo(f"    play it alone: python -m lab.soak --first-seed {seed} --seeds 1; left in {folder}")
     return 1
 
--- a/lab/soak/checks.py
+++ b/lab/soak/checks.py
@@ -6,29 +6,29 @@
 
 import polars as pl
 
-from lab.quotas import Try, judge
-from lab.shutdown import CROSSING
-from lab.soak.plan import HOLD_UP_SECONDS, PLAN_BURST, PLAN_RATE, Run
+from lab.quotas import TenantRequest, evaluate_quotas
+from lab.shutdown import IN_FLIGHT_SECONDS
+from lab.soak.plan import MAX_PAUSE_SECONDS, PLAN_BURST, PLAN_RATE, Run
 
 ANSWER_SLACK_SECONDS = 0.5 + 0.05  # past its time an answer still counts, and each limit on sockets is longer
-LEFT_SLACK_SECONDS = 0.1  # after its client has gone an attempt may begin
-TOLD_SLACK_SECONDS = 0.15  # that a backend may be told beyond what the client has left
+DISCONNECT_SLACK_SECONDS = 0.1  # after its client has gone an attempt may begin
+REPORTED_TIME_SLACK_SECONDS = 0.15  # that a backend may be told beyond what the client has left
 DRAIN_GRACE_SECONDS = 0.5 + 0.05  # as the settings say, and each limit on sockets is longer
-TOLD_AT_LATEST_SECONDS = 6.0  # after discovery had a change and could be reached
+DISCOVERY_RECOVERY_SECONDS = 6.0  # after discovery had a change and could be reached
 READY_SECONDS = 10.0
-MOST_USE = 1.10  # of an allowance over any 10 s
+MAX_QUOTA_USE = 1.10  # of an allowance over any 10 s
 
 
-def broken(run: Run, table: pl.DataFrame) -> list[str]:
+def rule_violations(run: Run, table: pl.DataFrame) -> list[str]:
     """Every rule that the run broke, a line each; none where all is well."""
     return [
         *_unanswered(run, table),
         *_late(table),
         *_ran_twice(table),
-        *_after_leaving(table),
-        *_told_too_much(table),
-        *_to_draining(table),
-        *_ends(table),
+        *_after_disconnect(table),
+        *_reported_too_much_time(table),
+        *_to_draining_backends(table),
+        *_exit_statuses(table),
         *_not_ready(table),
         *_quotas(table),
     ]
@@ -66,7 +66,7 @@
         if row["begun"] == "begun" and row["closing"] in ("closed", "reset") and (is_first or not came):
             continue
         in_order = row["closing"] == "closed" and row["closed"] is not None
-        if in_order and not came and row["t"] >= row["closed"] - CROSSING:
+        if in_order and not came and row["t"] >= row["closed"] - IN_FLIGHT_SECONDS:
             continue
         answered = _rows(table, "asked").filter(
             (pl.col("member") == row["member"])
@@ -89,7 +89,7 @@
     for row in _requests(table).filter(pl.col("end") != "open").iter_rows(named=True):
         connection = (row["member"], row["life"], row["connection"])
         due = row["t"] + row["seconds"] + ANSWER_SLACK_SECONDS
-        behind = before.get(connection, 0.0) + CROSSING
+        behind = before.get(connection, 0.0) + IN_FLIGHT_SECONDS
         before[connection] = row["until"]
         if row["until"] > max(due, behind) and row["closing"] != "left":
             found.append(f"late: {_name(row)}, answered at {row['until']:.3f}, due {due:.3f}")
@@ -102,17 +102,17 @@
     return [f"ran {row['len']} times: {row['ident']}" for row in runs.iter_rows(named=True)]
 
 
-def _after_leaving(table: pl.DataFrame) -> list[str]:
+def _after_disconnect(table: pl.DataFrame) -> list[str]:
     left = _requests(table).filter(pl.col("closing") == "left").select("ident", "closed")
     came = _rows(table, "came").join(left, on="ident")
-    late = came.filter(pl.col("t") > pl.col("closed") + LEFT_SLACK_SECONDS)
+    late = came.filter(pl.col("t") > pl.col("closed") + DISCONNECT_SLACK_SECONDS)
     return [
         f"began {row['t'] - row['closed']:.3f} s after its client left: {row['ident']}"
         for row in late.iter_rows(named=True)
     ]
 
 
-def _told_too_much(table: pl.DataFrame) -> list[str]:
+def _reported_too_much_time(table: pl.DataFrame) -> list[str]:
     """Backends that were told more than the client had left.
 
     An ingress may be held up for so long as the terms say. Where the soak itself was late to let it go on,
@@ -121,28 +121,30 @@
     asked = _rows(table, "asked").select("ident", "member", "life", sent="t", patience="seconds")
     came = _rows(table, "came").drop("member", "life").join(asked, on="ident")
     left = pl.col("sent") + pl.col("patience") - pl.col("t")
-    wrong = came.with_columns(left=left).filter(pl.col("seconds") > pl.col("left") + TOLD_SLACK_SECONDS)
+    wrong = came.with_columns(left=left).filter(
+        pl.col("seconds") > pl.col("left") + REPORTED_TIME_SLACK_SECONDS
+    )
     return [
         f"told {row['seconds']:.3f} s with {row['left']:.3f} s left: {row['ident']}"
         for row in wrong.iter_rows(named=True)
-        if row["seconds"] > row["left"] + TOLD_SLACK_SECONDS + _held_too_long(table, row)
+        if row["seconds"] > row["left"] + REPORTED_TIME_SLACK_SECONDS + _excess_pause(table, row)
     ]
 
 
-def _held_too_long(table: pl.DataFrame, request: dict[str, Any]) -> float:
+def _excess_pause(table: pl.DataFrame, request: dict[str, Any]) -> float:
     """Seconds beyond the terms for which its ingress was held up between the request and its attempt."""
     signals = _rows(table, "signal").filter(
         (pl.col("member") == request["member"]) & (pl.col("life") == request["life"])
     )
     longest = 0.0
     for stop in signals.filter(pl.col("detail") == "SIGSTOP")["t"]:
-        goes_on = signals.filter((pl.col("detail") == "SIGCONT") & (pl.col("t") > stop))["t"].min()
-        if isinstance(goes_on, float) and stop < request["t"] and goes_on > request["sent"]:
-            longest = max(longest, goes_on - stop - HOLD_UP_SECONDS)
+        resumed_at = signals.filter((pl.col("detail") == "SIGCONT") & (pl.col("t") > stop))["t"].min()
+        if isinstance(resumed_at, float) and stop < request["t"] and resumed_at > request["sent"]:
+            longest = max(longest, resumed_at - stop - MAX_PAUSE_SECONDS)
     return longest
 
 
-def _to_draining(table: pl.DataFrame) -> list[str]:
+def _to_draining_backends(table: pl.DataFrame) -> list[str]:
     """Requests to a backend that drains, past the grace after which its ingress counts as told."""
     found = []
     by_ident = _rows(table, "asked").select("ident", "member", "life")
@@ -152,27 +154,27 @@
         back = of["t"].min()
         until = back if isinstance(back, float) else float("inf")
         for row in came.filter(pl.col("backend") == drain["backend"]).iter_rows(named=True):
-            told = _told(table, drain["t"], row["member"], row["life"])
-            if told + DRAIN_GRACE_SECONDS < row["t"] < until:
+            notified = _notified_by(table, drain["t"], row["member"], row["life"])
+            if notified + DRAIN_GRACE_SECONDS < row["t"] < until:
                 found.append(
                     f"to draining backend {drain['backend']}: {row['ident']} of n{row['member']} "
-                    f"{row['t'] - told:.3f} s after it was told"
+                    f"{row['t'] - notified:.3f} s after it was told"
                 )
     return found
 
 
-def _told(table: pl.DataFrame, at: float, member: int, life: int) -> float:
+def _notified_by(table: pl.DataFrame, at: float, member: int, life: int) -> float:
     """When an ingress counts as told of a change at the latest."""
     begins = _rows(table, "life").filter((pl.col("member") == member) & (pl.col("life") == life))["t"]
     known = max(at, float(begins[0]))
     for silence in _rows(table, "silence").filter(pl.col("member") == member).iter_rows(named=True):
         if silence["t"] <= known < silence["until"]:
             refused = silence["detail"] == "refused"
-            known = silence["until"] + TOLD_AT_LATEST_SECONDS * refused
+            known = silence["until"] + DISCOVERY_RECOVERY_SECONDS * refused
     return known
 
 
-def _ends(table: pl.DataFrame) -> list[str]:
+def _exit_statuses(table: pl.DataFrame) -> list[str]:
     return [
         f"n{row['member']} life {row['life']} ended with {row['end']} ({row['detail']})"
         for row in _rows(table, "life").iter_rows(named=True)
@@ -193,13 +195,13 @@
     if answered.is_empty():
         return []
     tries = [
-        Try(row["t"], str(row["tenant"]), 1.0, row["end"] == "served")
+        TenantRequest(row["t"], str(row["tenant"]), 1.0, row["end"] == "served")
         for row in answered.iter_rows(named=True)
     ]
-    verdict = judge(tries, PLAN_RATE, PLAN_BURST)
-    if verdict.use <= MOST_USE:
+    verdict = evaluate_quotas(tries, PLAN_RATE, PLAN_BURST)
+    if verdict.use <= MAX_QUOTA_USE:
         return []
-    return [f"tenant {verdict.worst} used {verdict.use:.2f} of its allowance"]
+    return [f"tenant {verdict.worst_tenant} used {verdict.use:.2f} of its allowance"]
 
 
 def _name(row: dict[str, object]) -> str:
--- a/lab/soak/plan.py
+++ b/lab/soak/plan.py
@@ -12,20 +12,20 @@
 from lab.shutdown import kill_time
 from standflow.shutdown_schedule import schedule_for
 
-MOST_INGRESSES = 4
+MAX_INGRESSES = 4
 BACKENDS = 3
 DEADLINES = (0.3, 0.5, 0.8, 1.2, 1.6, 2.4, 3.0, 4.0, 5.0)  # seconds
-HOLD_UP_SECONDS = 0.15  # for which an ingress may be held up, by the standing terms
+MAX_PAUSE_SECONDS = 0.15  # for which an ingress may be held up, by the standing terms
 RELOAD_SECONDS = 0.2  # in which a file is read after SIGHUP, with a hold-up
 LAST_SEND_SECONDS = 0.01  # before SIGKILL: the last moment at which a client sends
 LONG_VALUE_BYTES = 300_000
-CUT_PART = 0.9  # of a long value, after which its connection is cut
+CUT_FRACTION = 0.9  # of a long value, after which its connection is cut
 CROWD_SOCKETS = 256  # descriptors of an ingress before a crowd
 CROWD_IDLE, CROWD_AT_ONCE = 140, 200  # connections
-FIRST_WAIT_SECONDS = (
+PENDING_LEAD_SECONDS = (
     0.05  # before the end of accepting, and of serving, at which clients send that wait for both
 )
-WAITING_TENANT = 50  # of these clients
+PENDING_TENANT = 50  # of these clients
 PLAN_RATE, PLAN_BURST = 4.0, 6.0  # units a second and units of each tenant's quota
 
 
@@ -76,8 +76,8 @@
 
     connects_at: float
     sends: tuple[PlannedSend, ...]
-    leaves_at: float | None = None
-    stays: bool = False
+    disconnects_at: float | None = None
+    open_until_kill: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -92,10 +92,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Life:
+class ProcessRun:
     """One life of an ingress. `serves`: seconds from its being ready to SIGTERM."""
 
-    serves: float
+    serving_seconds: float
     signals: tuple[SignalAt, ...]
     clients: tuple[PlannedClient, ...]
     fault: Fault | None
@@ -107,7 +107,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class BackendTrouble:
+class BackendFault:
     """A backend fails in one way for a while."""
 
     backend: int
@@ -117,7 +117,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class DiscoverySilence:
+class DiscoveryOutage:
     """An ingress hears nothing from discovery. `refused`: its connections are reset, not only silent."""
 
     ingress: int
@@ -134,15 +134,15 @@
     look_deadline: float
     change_deadline: float
     crowd: bool
-    owed_at_the_end: bool  # backends hang on requests of a tenant whose clients wait until SIGKILL
-    lives: tuple[tuple[Life, ...], ...]
-    backends: tuple[BackendTrouble, ...]
-    silences: tuple[DiscoverySilence, ...]
+    pending_at_kill: bool  # backends hang on requests of a tenant whose clients wait until SIGKILL
+    process_runs: tuple[tuple[ProcessRun, ...], ...]
+    backends: tuple[BackendFault, ...]
+    outages: tuple[DiscoveryOutage, ...]
 
     @property
     def ingresses(self) -> int:
         """How many there are."""
-        return len(self.lives)
+        return len(self.process_runs)
 
     @property
     def longest_deadline(self) -> float:
@@ -152,52 +152,52 @@
 
 def draw(seed: int) -> Run:
     """The run of a seed."""
-    chance = random.Random(f"soak {seed}")
-    look_deadline, change_deadline = chance.choice(DEADLINES), chance.choice(DEADLINES)
+    rng = random.Random(f"soak {seed}")
+    look_deadline, change_deadline = rng.choice(DEADLINES), rng.choice(DEADLINES)
     longest = max(look_deadline, change_deadline)
-    ingresses = chance.randint(1, MOST_INGRESSES)
+    ingresses = rng.randint(1, MAX_INGRESSES)
     crowd = seed % 3 == 0
-    owed_at_the_end = seed % 4 == 2
-    lives = tuple(
+    pending_at_kill = seed % 4 == 2
+    process_runs = tuple(
         tuple(
-            _draw_life(chance, longest, ingresses, crowd and number == 0 and life == 0)
-            for life in range(chance.randint(1, 3 if ingresses < 3 else 2))
+            _draw_process_run(rng, longest, ingresses, crowd and number == 0 and process_run == 0)
+            for process_run in range(rng.randint(1, 3 if ingresses < 3 else 2))
         )
         for number in range(ingresses)
     )
-    span = max(sum(life.serves + kill_time(longest) for life in of) for of in lives)
-    backends = tuple(_draw_trouble(chance, span) for _ in range(chance.randint(2, 4)))
-    silences = tuple(
-        _draw_silence(chance, number, span) for number in range(ingresses) if chance.random() < 0.3
+    span = max(
+        sum(process_run.serving_seconds + kill_time(longest) for process_run in of) for of in process_runs
     )
-    if owed_at_the_end:  # what is drawn for other seeds stays as it is
-        lives = tuple(tuple(_with_waiting_clients(life, longest) for life in of) for of in lives)
+    backends = tuple(_draw_backend_fault(rng, span) for _ in range(rng.randint(2, 4)))
+    outages = tuple(_draw_outage(rng, number, span) for number in range(ingresses) if rng.random() < 0.3)
+    if pending_at_kill:  # what is drawn for other seeds stays as it is
+        process_runs = tuple(
+            tuple(_with_pending_clients(process_run, longest) for process_run in of) for of in process_runs
+        )
         backends = ()
-    return Run(seed, look_deadline, change_deadline, crowd, owed_at_the_end, lives, backends, silences)
+    return Run(seed, look_deadline, change_deadline, crowd, pending_at_kill, process_runs, backends, outages)
 
 
-def _draw_life(chance: random.Random, longest: float, ingresses: int, crowd: bool) -> Life:
-    serves = chance.uniform(1.0, 2.5)
-    signals = _draw_signals(chance, longest, ingresses)
+def _draw_process_run(rng: random.Random, longest: float, ingresses: int, crowd: bool) -> ProcessRun:
+    serving_seconds = rng.uniform(1.0, 2.5)
+    signals = _draw_signals(rng, longest, ingresses)
     reloads = [one.longest_deadline for one in signals if one.signal is Signal.RELOAD]
     end = kill_time(min([longest, *reloads])) - LAST_SEND_SECONDS
-    clients = _draw_clients(chance, -serves + 0.1, end)
+    clients = _draw_clients(rng, -serving_seconds + 0.1, end)
     if crowd:
-        clients += _draw_crowd(chance, -serves + 0.1, end)
-    fault = _draw_fault(chance, serves) if chance.random() < 0.4 else None
-    return Life(serves, signals, tuple(clients), fault)
+        clients += _draw_crowd(rng, -serving_seconds + 0.1, end)
+    fault = _draw_fault(rng, serving_seconds) if rng.random() < 0.4 else None
+    return ProcessRun(serving_seconds, signals, tuple(clients), fault)
 
 
-def _draw_signals(chance: random.Random, longest: float, ingresses: int) -> tuple[SignalAt, ...]:
+def _draw_signals(rng: random.Random, longest: float, ingresses: int) -> tuple[SignalAt, ...]:
     signals: list[SignalAt] = []
-    for _ in range(chance.randint(0, 4)):
-        at = chance.choice(
-            [chance.uniform(-0.6, -0.02), chance.uniform(0.001, 0.02), chance.uniform(0.1, 0.5)]
-        )
-        signal = chance.choice(list(Signal))
+    for _ in range(rng.randint(0, 4)):
+        at = rng.choice([rng.uniform(-0.6, -0.02), rng.uniform(0.001, 0.02), rng.uniform(0.1, 0.5)])
+        signal = rng.choice(list(Signal))
         if signal is Signal.RELOAD:
-            deadline = chance.choice([longest, chance.choice(DEADLINES)])
-            signals.append(SignalAt(at, signal, deadline, chance.randrange(ingresses)))
+            deadline = rng.choice([longest, rng.choice(DEADLINES)])
+            signals.append(SignalAt(at, signal, deadline, rng.randrange(ingresses)))
         elif signal is Signal.TERMINATE and at < 0:
             continue  # the first one is the life's own
         elif signal is Signal.HOLD and any(one.signal is Signal.HOLD for one in signals):
@@ -217,51 +217,51 @@
     return tuple(kept)
 
 
-def _draw_clients(chance: random.Random, begin: float, end: float) -> list[PlannedClient]:
+def _draw_clients(rng: random.Random, begin: float, end: float) -> list[PlannedClient]:
     """Steady ones, some that pipeline, some that rest, some that leave, and some that come anew."""
     clients = []
     for _ in range(3):
-        every = chance.uniform(0.15, 0.4)
-        clients.append(PlannedClient(begin, _sends(chance, _steps(begin, end, every))))
+        every = rng.uniform(0.15, 0.4)
+        clients.append(PlannedClient(begin, _sends(rng, _steps(begin, end, every))))
     for _ in range(2):
-        every, depth = chance.uniform(0.3, 0.6), chance.randint(2, 6)
+        every, depth = rng.uniform(0.3, 0.6), rng.randint(2, 6)
         times = [at for at in _steps(begin, end, every) for _ in range(depth)]
-        clients.append(PlannedClient(begin, _sends(chance, times)))
+        clients.append(PlannedClient(begin, _sends(rng, times)))
     for _ in range(3):
-        times = [begin + chance.uniform(0.0, 0.3), chance.uniform(0.05, end)]
-        clients.append(PlannedClient(begin, _sends(chance, times)))
+        times = [begin + rng.uniform(0.0, 0.3), rng.uniform(0.05, end)]
+        clients.append(PlannedClient(begin, _sends(rng, times)))
     for _ in range(4):
-        at = chance.uniform(begin, min(end, 1.0))
-        leaves = at + chance.choice([0.002, chance.uniform(0.01, 0.4)])
-        clients.append(PlannedClient(at - 0.01, _sends(chance, [at] * chance.randint(1, 3)), leaves))
+        at = rng.uniform(begin, min(end, 1.0))
+        disconnects = at + rng.choice([0.002, rng.uniform(0.01, 0.4)])
+        clients.append(PlannedClient(at - 0.01, _sends(rng, [at] * rng.randint(1, 3)), disconnects))
     for _ in range(6):
-        at = chance.uniform(begin, 0.3)
-        later = chance.uniform(at, end)
-        clients.append(PlannedClient(at, _sends(chance, [at, later])))
-    clients.append(PlannedClient(0.1, _sends(chance, [end])))
+        at = rng.uniform(begin, 0.3)
+        later = rng.uniform(at, end)
+        clients.append(PlannedClient(at, _sends(rng, [at, later])))
+    clients.append(PlannedClient(0.1, _sends(rng, [end])))
     return clients
 
 
-def _with_waiting_clients(life: Life, longest: float) -> Life:
+def _with_pending_clients(process_run: ProcessRun, longest: float) -> ProcessRun:
     """Adds clients that are owed an answer at the last moment, and keep their connection beyond it.
 
     The first request keeps the connection from being ended as an idle one; the second comes just before the
     end of serving, so that its time is over after the last moment.
     """
-    schedule = schedule_for(life.counted_deadline(longest))
-    waiting = []
+    schedule = schedule_for(process_run.counted_deadline(longest))
+    pending = []
     for safe in (True, False):
-        times = (schedule.stop_accepting - FIRST_WAIT_SECONDS, schedule.stop_serving - FIRST_WAIT_SECONDS)
-        sends = tuple(PlannedSend(at, safe, WAITING_TENANT) for at in times)
-        waiting.append(PlannedClient(-FIRST_WAIT_SECONDS, sends, stays=True))
-    return replace(life, clients=life.clients + tuple(waiting))
+        times = (schedule.stop_accepting - PENDING_LEAD_SECONDS, schedule.stop_serving - PENDING_LEAD_SECONDS)
+        sends = tuple(PlannedSend(at, safe, PENDING_TENANT) for at in times)
+        pending.append(PlannedClient(-PENDING_LEAD_SECONDS, sends, open_until_kill=True))
+    return replace(process_run, clients=process_run.clients + tuple(pending))
 
 
-def _draw_crowd(chance: random.Random, begin: float, end: float) -> list[PlannedClient]:
+def _draw_crowd(rng: random.Random, begin: float, end: float) -> list[PlannedClient]:
     """Idle connections near the limit of descriptors, and hundreds that come at once."""
     idle = [PlannedClient(begin + n * 0.001, ()) for n in range(CROWD_IDLE)]
-    at = chance.uniform(begin + 0.4, -0.1)
-    many = [PlannedClient(at, _sends(chance, [at + 0.02])) for _ in range(CROWD_AT_ONCE)]
+    at = rng.uniform(begin + 0.4, -0.1)
+    many = [PlannedClient(at, _sends(rng, [at + 0.02])) for _ in range(CROWD_AT_ONCE)]
     return idle + many
 
 
@@ -269,17 +269,17 @@
     return [begin + every * n for n in range(int((end - begin) / every) + 1)]
 
 
-def _sends(chance: random.Random, times: list[float]) -> tuple[PlannedSend, ...]:
+def _sends(rng: random.Random, times: list[float]) -> tuple[PlannedSend, ...]:
     """Of two tenants near their limits and many others within theirs; a third may not be repeated."""
     sends = []
     for at in sorted(times):
-        tenant = chance.randrange(2) if chance.random() < 0.3 else 100 + chance.randrange(200)
-        sends.append(PlannedSend(at, chance.random() < 0.67, tenant))
+        tenant = rng.randrange(2) if rng.random() < 0.3 else 100 + rng.randrange(200)
+        sends.append(PlannedSend(at, rng.random() < 0.67, tenant))
     return tuple(sends)
 
 
-def _draw_fault(chance: random.Random, serves: float) -> Fault:
-    call, error = chance.choice(
+def _draw_fault(rng: random.Random, serving_seconds: float) -> Fault:
+    call, error = rng.choice(
         [
             ("accept", "ECONNABORTED"),
             ("accept", "ENFILE"),
@@ -290,16 +290,16 @@
             ("recv", "short"),
         ]
     )
-    begin = chance.uniform(0.3, serves)
-    return Fault(call, error, chance.randint(2, 5), begin, begin + chance.uniform(0.3, 1.5))
+    begin = rng.uniform(0.3, serving_seconds)
+    return Fault(call, error, rng.randint(2, 5), begin, begin + rng.uniform(0.3, 1.5))
 
 
-def _draw_trouble(chance: random.Random, span: float) -> BackendTrouble:
-    begin = chance.uniform(0.0, 0.8 * span)
-    mode = chance.choice(list(BackendMode))
-    return BackendTrouble(chance.randrange(BACKENDS), mode, begin, begin + chance.uniform(0.5, 4.0))
+def _draw_backend_fault(rng: random.Random, span: float) -> BackendFault:
+    begin = rng.uniform(0.0, 0.8 * span)
+    mode = rng.choice(list(BackendMode))
+    return BackendFault(rng.randrange(BACKENDS), mode, begin, begin + rng.uniform(0.5, 4.0))
 
 
-def _draw_silence(chance: random.Random, ingress: int, span: float) -> DiscoverySilence:
-    begin = chance.uniform(0.0, 0.8 * span)
-    return DiscoverySilence(ingress, begin, begin + chance.uniform(0.3, 2.5), chance.random() < 0.5)
+def _draw_outage(rng: random.Random, ingress: int, span: float) -> DiscoveryOutage:
+    begin = rng.uniform(0.0, 0.8 * span)
+    return DiscoveryOutage(ingress, begin, begin + rng.uniform(0.3, 2.5), rng.random() < 0.5)
--- a/lab/soak/play.py
+++ b/lab/soak/play.py
@@ -18,16 +18,16 @@
 from lab.soak.plan import (
     BACKENDS,
     CROWD_SOCKETS,
-    CUT_PART,
-    HOLD_UP_SECONDS,
+    CUT_FRACTION,
     LONG_VALUE_BYTES,
+    MAX_PAUSE_SECONDS,
+    PENDING_TENANT,
     PLAN_BURST,
     PLAN_RATE,
-    WAITING_TENANT,
+    BackendFault,
     BackendMode,
-    BackendTrouble,
-    DiscoverySilence,
-    Life,
+    DiscoveryOutage,
+    ProcessRun,
     Run,
     Signal,
     SignalAt,
@@ -35,24 +35,24 @@
 from lab.soak.record import Row
 
 BACKEND_WORK_SECONDS, BACKEND_CORES = 0.002, 4.0
-HELD_SECONDS = HOLD_UP_SECONDS - 0.01  # so that a late SIGCONT is not yet more than the terms allow
+PAUSE_SECONDS = MAX_PAUSE_SECONDS - 0.01  # so that a late SIGCONT is not yet more than the terms allow
 LATE_BY_SECONDS = 0.3  # of an answer after the deadline
-WATCH_SECONDS = 0.01  # between looks at whether the soak itself is held up
-STARVED_SECONDS = 0.02  # of a hold-up that are worth a row
-IDENTS_OF_A_LIFE = 100_000
-NUMBERS = {Signal.RELOAD: signal.SIGHUP, Signal.TERMINATE: signal.SIGTERM, Signal.HOLD: signal.SIGSTOP}
+STARVATION_POLL_SECONDS = 0.01  # between looks at whether the soak itself is held up
+MIN_STARVATION_SECONDS = 0.02  # of a hold-up that are worth a row
+IDS_PER_PROCESS_RUN = 100_000
+SIGNAL_NUMBERS = {Signal.RELOAD: signal.SIGHUP, Signal.TERMINATE: signal.SIGTERM, Signal.HOLD: signal.SIGSTOP}
 SOCKETS = 1024
 
 
 @dataclass(slots=True)
-class Played:
+class SoakResult:
     """What is kept of a run: rows for the record, and the log of each life."""
 
     rows: list[Row]
     logs: list[str]
 
 
-class Soak:
+class SoakRunner:
     """One run; `play` returns once every ingress has ended."""
 
     def __init__(self, run: Run) -> None:
@@ -63,7 +63,7 @@
         self.begin = time.monotonic()
         self.over = threading.Event()
 
-    def play(self) -> Played:
+    def play(self) -> SoakResult:
         """Plays it whole."""
         plan = self.plan
         sockets = CROWD_SOCKETS if plan.crowd else SOCKETS
@@ -81,23 +81,25 @@
             relayed=False,
         ) as site:
             for box in site.boxes:
-                box.arrived = self.arrived
-                box.hung_tenants = frozenset([WAITING_TENANT] if plan.owed_at_the_end else [])
+                box.received_ids = self.arrived
+                box.hung_tenants = frozenset([PENDING_TENANT] if plan.pending_at_kill else [])
             self.begin = time.monotonic()
-            beside = [
-                threading.Thread(target=self._trouble, args=(site,)),
-                threading.Thread(target=self._watch),
+            background = [
+                threading.Thread(target=self._run_backend_faults, args=(site,)),
+                threading.Thread(target=self._watch_for_starvation),
             ]
-            lives = [threading.Thread(target=self._live, args=(site, n)) for n in range(plan.ingresses)]
-            for thread in (*beside, *lives):
+            process_runs = [
+                threading.Thread(target=self._run_ingress, args=(site, n)) for n in range(plan.ingresses)
+            ]
+            for thread in (*background, *process_runs):
                 thread.start()
-            for thread in lives:
+            for thread in process_runs:
                 thread.join()
             self.over.set()
-            for thread in beside:
+            for thread in background:
                 thread.join()
-            self._note_backends(site)
-        return Played(self.rows, self.logs)
+            self._record_backends(site)
+        return SoakResult(self.rows, self.logs)
 
     def now(self) -> float:
         """Seconds since the begin."""
@@ -105,19 +107,19 @@
 
     # One ingress, life after life.
 
-    def _live(self, site: Site, member: int) -> None:
-        for number, life in enumerate(self.plan.lives[member]):
+    def _run_ingress(self, site: Site, member: int) -> None:
+        for number, life in enumerate(self.plan.process_runs[member]):
             started = self.now()
             if number or life.fault is not None:
                 self._start(site, member, life, first=not number)
             ready = self.now()
             ingress = site.live[member]
-            ended = self._play_life(site, member, number, life, ingress)
+            ended = self._play_process_run(site, member, number, life, ingress)
             status = "killed" if ended.ended_at is None else str(ingress.process.returncode)
-            self._note_life(member, number, started, ready, ended, status)
+            self._record_process_run(member, number, started, ready, ended, status)
             self.logs += [f"n{member} life {number} {line}" for line in list(ingress.log)]
 
-    def _start(self, site: Site, member: int, life: Life, first: bool) -> None:
+    def _start(self, site: Site, member: int, life: ProcessRun, first: bool) -> None:
         if first:  # the site has started it without faults
             site.kill(member)
         module, environment = "standflow", None
@@ -127,26 +129,28 @@
             environment = {VARIABLE: json.dumps({"calls": calls, "from": fault.begin, "until": fault.end})}
         site.start(member, module=module, environment=environment)
 
-    def _play_life(self, site: Site, member: int, number: int, life: Life, ingress: Ingress) -> Shutdown:
+    def _play_process_run(
+        self, site: Site, member: int, number: int, life: ProcessRun, ingress: Ingress
+    ) -> Shutdown:
         clients = [
             Client(
-                [Send(send.at, send.safe, send.tenant, self._patience(send.safe)) for send in one.sends],
+                [Send(send.at, send.safe, send.tenant, self._timeout(send.safe)) for send in one.sends],
                 one.connects_at,
-                one.leaves_at,
-                one.stays,
+                one.disconnects_at,
+                one.open_until_kill,
             )
             for one in life.clients
         ]
         due, prepared = [], {}
         for one in life.signals:
-            due.append((one.at, int(NUMBERS[one.signal])))
+            due.append((one.at, int(SIGNAL_NUMBERS[one.signal])))
             prepared[one.at] = one
             if one.signal is Signal.HOLD:
-                due.append((one.at + HELD_SECONDS, int(signal.SIGCONT)))
+                due.append((one.at + PAUSE_SECONDS, int(signal.SIGCONT)))
 
         def prepare(at: float, sent: int) -> None:
             if (one := prepared.get(at)) is not None and one.signal is Signal.RELOAD:
-                self._write_file(site, member, one)
+                self._write_settings(site, member, one)
             name = signal.Signals(sent).name
             self.rows.append(Row(what="signal", t=self.now(), member=member, life=number, detail=name))
 
@@ -158,18 +162,18 @@
             self.plan.longest_deadline,
             self.arrived,
             due,
-            put_off=False,
-            first_serial=(member * 100 + number) * IDENTS_OF_A_LIFE,
+            extend_by_starvation=False,
+            first_serial=(member * 100 + number) * IDS_PER_PROCESS_RUN,
             spread=self.plan.ingresses,
             prepare=prepare,
         )
-        self._note_clients(member, number, clients, ended)
+        self._record_clients(member, number, clients, ended)
         return ended
 
-    def _patience(self, safe: bool) -> float:
+    def _timeout(self, safe: bool) -> float:
         return self.plan.look_deadline if safe else self.plan.change_deadline
 
-    def _write_file(self, site: Site, member: int, one: SignalAt) -> None:
+    def _write_settings(self, site: Site, member: int, one: SignalAt) -> None:
         """Other deadlines, and the list of another ingress to watch."""
         part = one.longest_deadline / self.plan.longest_deadline
         deployment = Deployment(
@@ -183,20 +187,20 @@
 
     # Backends and discovery.
 
-    def _trouble(self, site: Site) -> None:
+    def _run_backend_faults(self, site: Site) -> None:
         due: list[tuple[float, Callable[[], None]]] = []
         for one in self.plan.backends:
-            due.append((one.begin, lambda one=one: self._begin_trouble(site, one)))  # type: ignore[misc]
-            due.append((one.end, lambda one=one: self._end_trouble(site, one)))  # type: ignore[misc]
-        for silence in self.plan.silences:
-            due.append((silence.begin, lambda one=silence: self._silence(site, one)))  # type: ignore[misc]
-            due.append((silence.end, lambda one=silence: self._hear(site, one)))  # type: ignore[misc]
+            due.append((one.begin, lambda one=one: self._begin_backend_fault(site, one)))  # type: ignore[misc]
+            due.append((one.end, lambda one=one: self._end_backend_fault(site, one)))  # type: ignore[misc]
+        for outage in self.plan.outages:
+            due.append((outage.begin, lambda one=outage: self._begin_outage(site, one)))  # type: ignore[misc]
+            due.append((outage.end, lambda one=outage: self._end_outage(site, one)))  # type: ignore[misc]
         for at, act in sorted(due, key=lambda one: one[0]):
             if self.over.wait(max(0.0, at - self.now())):
                 return
             act()
 
-    def _begin_trouble(self, site: Site, one: BackendTrouble) -> None:
+    def _begin_backend_fault(self, site: Site, one: BackendFault) -> None:
         box, mode = site.boxes[one.backend], one.mode
         self.rows.append(
             Row(what="backend", t=self.now(), until=one.end, backend=one.backend, detail=mode.value)
@@ -219,9 +223,9 @@
         else:
             box.value = LONG_VALUE_BYTES
             if mode is BackendMode.CUT:
-                box.mode = Mode(cut_after=int(CUT_PART * LONG_VALUE_BYTES))
+                box.mode = Mode(cut_after=int(CUT_FRACTION * LONG_VALUE_BYTES))
 
-    def _end_trouble(self, site: Site, one: BackendTrouble) -> None:
+    def _end_backend_fault(self, site: Site, one: BackendFault) -> None:
         box = site.boxes[one.backend]
         if one.mode is BackendMode.DRAINING:
             self.rows.append(Row(what="back", t=self.now(), backend=one.backend))
@@ -229,20 +233,20 @@
             return
         box.mode, box.delay, box.value = Mode(), 0.0, 0
 
-    def _silence(self, site: Site, one: DiscoverySilence) -> None:
+    def _begin_outage(self, site: Site, one: DiscoveryOutage) -> None:
         assert site.streams is not None
         lists = {BACKENDS + n for n in range(self.plan.ingresses)}
         (site.streams.refuse if one.refused else site.streams.cut)({one.ingress}, lists)
         detail = "refused" if one.refused else "silent"
         self.rows.append(Row(what="silence", t=self.now(), until=one.end, member=one.ingress, detail=detail))
 
-    def _hear(self, site: Site, one: DiscoverySilence) -> None:
+    def _end_outage(self, site: Site, one: DiscoveryOutage) -> None:
         assert site.streams is not None
         site.streams.heal()
 
     # What is kept.
 
-    def _note_life(
+    def _record_process_run(
         self, member: int, number: int, started: float, ready: float, ended: Shutdown, status: str
     ) -> None:
         zero = ended.terminated - self.begin
@@ -260,7 +264,7 @@
             )
         )
 
-    def _note_clients(self, member: int, number: int, clients: list[Client], ended: Shutdown) -> None:
+    def _record_clients(self, member: int, number: int, clients: list[Client], ended: Shutdown) -> None:
         zero = ended.terminated - self.begin
         for serial, client in enumerate(clients):
             if client.connected_at is None:
@@ -288,15 +292,15 @@
                         ident=sent.ident,
                         tenant=sent.tenant,
                         safe=sent.safe,
-                        seconds=sent.patience,
-                        end=_end_of(sent.answer, sent.answered_at),
+                        seconds=sent.timeout,
+                        end=_outcome_of(sent.answer, sent.answered_at),
                         member=member,
                         life=number,
                         connection=serial,
                     )
                 )
 
-    def _note_backends(self, site: Site) -> None:
+    def _record_backends(self, site: Site) -> None:
         for number, box in enumerate(site.boxes):
             for one in box.counts.arrivals:
                 self.rows.append(
@@ -311,18 +315,18 @@
                     )
                 )
 
-    def _watch(self) -> None:
+    def _watch_for_starvation(self) -> None:
         """Notes when the soak itself was held up: its clients and backends are late then."""
         last = self.now()
-        while not self.over.wait(WATCH_SECONDS):
+        while not self.over.wait(STARVATION_POLL_SECONDS):
             now = self.now()
-            late = now - last - WATCH_SECONDS
-            if late > STARVED_SECONDS:
+            late = now - last - STARVATION_POLL_SECONDS
+            if late > MIN_STARVATION_SECONDS:
                 self.rows.append(Row(what="starved", t=last, until=now, detail=f"late by {late:.3f}"))
             last = now
 
 
-def _end_of(answer: bytes, answered_at: float | None) -> str:
+def _outcome_of(answer: bytes, answered_at: float | None) -> str:
     """What came of a request, by its answer without framing."""
     if answered_at is None:
         return "open"
--- a/lab/streams.py
+++ b/lab/streams.py
@@ -22,18 +22,18 @@
 
 
 @dataclass(slots=True, eq=False)
-class Way:
+class Direction:
     """One direction of one connection. `waiting`: pieces with the time at which each is due."""
 
     pair: Pair
     source: socket.socket
     sink: socket.socket
-    other: Way | None = None
+    other: Direction | None = None
     waiting: list[tuple[float, int, bytes]] = field(default_factory=list)
     ended: bool = False  # the source's end was read
 
 
-class Streams:
+class TcpProxy:
     """A relay on a thread of its own. What it does may be changed at any time.
 
     `silent`: pairs between which nothing passes; a dial there hangs once the few places of the kernel's queue
@@ -46,7 +46,7 @@
         self.refused: set[Pair] = set()
         self.delay = 0.0
         self.resets = self.passed = 0
-        self.ways: list[Way] = []
+        self.directions: list[Direction] = []
         self.serial = 0
         self.lock = threading.Lock()
         self.selector = selectors.DefaultSelector()
@@ -61,19 +61,19 @@
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
-    def __enter__(self) -> Streams:
+    def __enter__(self) -> TcpProxy:
         return self
 
     def __exit__(self, *_: object) -> None:
         self.open = False
         self.thread.join(5.0)
-        for way in self.ways:
-            way.source.close()
+        for direction in self.directions:
+            direction.source.close()
         for listener in self.listeners.values():
             listener.close()
         self.selector.close()
 
-    def seen_by(self, ingress: int) -> list[Address]:
+    def addresses_for(self, ingress: int) -> list[Address]:
         """Where an ingress finds the ends, in their order."""
         return [self.listeners[ingress, end].getsockname() for end in range(len(self.ends))]
 
@@ -85,8 +85,8 @@
         """Connections there are reset, and so is each new one."""
         with self.lock:
             self.refused |= {(a, b) for a in ingresses for b in ends}
-            for way in [way for way in self.ways if way.pair in self.refused]:
-                self._end(way, True)
+            for direction in [direction for direction in self.directions if direction.pair in self.refused]:
+                self._end(direction, True)
 
     def heal(self) -> None:
         """All pass again, and what waited comes."""
@@ -102,15 +102,15 @@
                 for key, _ in ready:
                     self._accept(key.data) if isinstance(key.data, tuple) else self._read(key.data)
                 now = time.monotonic()
-                for way in list(self.ways):
-                    if way in self.ways:
-                        self._pass(way, now)
+                for direction in list(self.directions):
+                    if direction in self.directions:
+                        self._pass(direction, now)
             if ready and all(self._held(key.data) for key, _ in ready):
                 time.sleep(TICK)  # what is held stays readable
 
-    def _held(self, data: Pair | Way) -> bool:
+    def _held(self, data: Pair | Direction) -> bool:
         pair = data if isinstance(data, tuple) else data.pair
-        return pair in self.silent or (isinstance(data, Way) and len(data.waiting) > 64)
+        return pair in self.silent or (isinstance(data, Direction) and len(data.waiting) > 64)
 
     def _accept(self, pair: Pair) -> None:
         if pair in self.silent:
@@ -128,56 +128,62 @@
             near.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             near.close()
             return
-        there, back = Way(pair, near, far), Way(pair, far, near)
+        there, back = Direction(pair, near, far), Direction(pair, far, near)
         there.other, back.other = back, there
-        for way in (there, back):
-            way.source.setblocking(False)
-            way.source.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.ways.append(way)
-            self.selector.register(way.source, selectors.EVENT_READ, way)
-
-    def _read(self, way: Way) -> None:
-        if way not in self.ways or self._held(way):
+        for direction in (there, back):
+            direction.source.setblocking(False)
+            direction.source.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self.directions.append(direction)
+            self.selector.register(direction.source, selectors.EVENT_READ, direction)
+
+    def _read(self, direction: Direction) -> None:
+        if direction not in self.directions or self._held(direction):
             return
         try:
-            data = way.source.recv(PIECE)
+            data = direction.source.recv(PIECE)
         except BlockingIOError:
             return
         except OSError:
-            self._end(way, True)
+            self._end(direction, True)
             return
         self.serial += 1
-        heapq.heappush(way.waiting, (time.monotonic() + self.delay, self.serial, data))
+        heapq.heappush(direction.waiting, (time.monotonic() + self.delay, self.serial, data))
         if not data:
-            way.ended = True
-            self.selector.unregister(way.source)
+            direction.ended = True
+            self.selector.unregister(direction.source)
 
-    def _pass(self, way: Way, now: float) -> None:
-        while way.waiting and way.waiting[0][0] <= now and way.pair not in self.silent:
-            at, serial, data = way.waiting[0]
+    def _pass(self, direction: Direction, now: float) -> None:
+        while direction.waiting and direction.waiting[0][0] <= now and direction.pair not in self.silent:
+            at, serial, data = direction.waiting[0]
             try:
                 if data:
-                    taken = way.sink.send(data)
+                    taken = direction.sink.send(data)
                     self.passed += taken
                     if taken < len(data):
-                        way.waiting[0] = (at, serial, data[taken:])
+                        direction.waiting[0] = (at, serial, data[taken:])
                         return
                 else:
-                    way.sink.shutdown(socket.SHUT_WR)
+                    direction.sink.shutdown(socket.SHUT_WR)
             except BlockingIOError:
                 return
             except OSError:
-                self._end(way, True)
+                self._end(direction, True)
                 return
-            heapq.heappop(way.waiting)
-        other = way.other
-        if other is not None and way.ended and other.ended and not way.waiting and not other.waiting:
-            self._end(way, False)
-
-    def _end(self, way: Way, broken: bool) -> None:
-        for one in (way, way.other):
-            if one is not None and one in self.ways:
-                self.ways.remove(one)
+            heapq.heappop(direction.waiting)
+        other = direction.other
+        if (
+            other is not None
+            and direction.ended
+            and other.ended
+            and not direction.waiting
+            and not other.waiting
+        ):
+            self._end(direction, False)
+
+    def _end(self, direction: Direction, broken: bool) -> None:
+        for one in (direction, direction.other):
+            if one is not None and one in self.directions:
+                self.directions.remove(one)
                 if not one.ended:
                     self.selector.unregister(one.source)
                 if broken:  # no FIN goes out first
--- a/lab/tenants.py
+++ b/lab/tenants.py
@@ -103,18 +103,18 @@
                 self._add_tenant(plan, f"{plan.name}-{number}")
 
     def _add_tenant(self, plan: i.Plan, name: str) -> None:
-        chance, gateways = self.arrivals, len(self.live)
-        size = max(min(2, gateways), round(gateways * chance.uniform(0.5, 1.0)))
-        kind = chance.random()
-        mean = spike = plan.rate * chance.uniform(0.22, 0.41)
+        rng, gateways = self.arrivals, len(self.live)
+        size = max(min(2, gateways), round(gateways * rng.uniform(0.5, 1.0)))
+        kind = rng.random()
+        mean = spike = plan.rate * rng.uniform(0.22, 0.41)
         if kind < HEAVY:
-            mean = spike = plan.rate * chance.uniform(2.1, 5.0)
+            mean = spike = plan.rate * rng.uniform(2.1, 5.0)
         elif kind < HEAVY + SPIKY:
-            spike = plan.rate * chance.uniform(3.2, 7.9)
+            spike = plan.rate * rng.uniform(3.2, 7.9)
         elif kind < HEAVY + SPIKY + FULL:
             mean = spike = plan.rate * 0.85
-        weights = [chance.expovariate(1.0) for _ in range(size)]
-        first, offset = chance.randrange(gateways), chance.uniform(0, SPIKE_EVERY_SECONDS)
+        weights = [rng.expovariate(1.0) for _ in range(size)]
+        first, offset = rng.randrange(gateways), rng.uniform(0, SPIKE_EVERY_SECONDS)
         tenant = Tenant(name, plan, first, size, weights, mean, spike, offset)
         self.tenants[name] = tenant
         self._post_arrival(tenant)
--- a/lab/wire.py
+++ b/lab/wire.py
@@ -29,7 +29,7 @@
         if context is not None:
             self.tls = context.wrap_bio(self.raw_in, self.raw_out, server_side=True)
 
-    def put(self, data: bytes) -> None:
+    def write_raw(self, data: bytes) -> None:
         """Bytes on the wire, as they are."""
         if self.cut_after is not None and self.written + len(data) > self.cut_after:
             rest = max(0, self.cut_after - self.written)
@@ -61,7 +61,7 @@
             except ssl.SSLError:
                 self.cpu += time.thread_time() - began
                 with contextlib.suppress(OSError):
-                    self.put(self.raw_out.read())  # its alert
+                    self.write_raw(self.raw_out.read())  # its alert
                 raise
             else:
                 done = True
@@ -70,12 +70,12 @@
                 if flight == stall_at:
                     return False
                 flight += 1
-                self.put(self.raw_out.read())
+                self.write_raw(self.raw_out.read())
             if done:
                 return bool(self.tls.session_reused)
-            self._more()
+            self._receive()
 
-    def _more(self) -> None:
+    def _receive(self) -> None:
         data = self.sock.recv(65536)
         if not data:
             raise ConnectionResetError
@@ -90,15 +90,15 @@
                 return self.tls.read(65536)
             except ssl.SSLWantReadError:
                 if self.raw_out.pending:
-                    self.put(self.raw_out.read())
+                    self.write_raw(self.raw_out.read())
                 try:
-                    self._more()
+                    self._receive()
                 except ConnectionResetError:
                     return b""
             except ssl.SSLZeroReturnError:
                 return b""
 
-    def cipher(self, data: bytes) -> bytes:
+    def encrypt(self, data: bytes) -> bytes:
         """What a message is on the wire."""
         if self.tls is None:
             return data
@@ -107,7 +107,7 @@
 
     def write(self, data: bytes) -> None:
         """A message."""
-        self.put(self.cipher(data))
+        self.write_raw(self.encrypt(data))
 
     def alert(self) -> bytes:
         """A fatal alert on the wire: OpenSSL's answer to a record that can't be read."""
@@ -117,16 +117,16 @@
             self.tls.read(1)
         return self.raw_out.read()
 
-    def notify(self) -> None:
+    def send_close_notify(self) -> None:
         """close_notify."""
         if self.tls is not None:
             with contextlib.suppress(ssl.SSLError):
                 self.tls.unwrap()
             with contextlib.suppress(OSError):
-                self.put(self.raw_out.read())
+                self.write_raw(self.raw_out.read())
 
     def close(self, notify: bool = True) -> None:
         """The end, with close_notify unless it is left out."""
         if notify:
-            self.notify()
+            self.send_close_notify()
         self.sock.close()
--- a/tests/test_counted.py
+++ b/tests/test_counted.py
@@ -19,9 +19,9 @@
 from hoistfold.counter_quotas import PERIOD_SECONDS, TOLERANCE, CounterQuotas
 from hoistfold.state import Quota, Request
 from lab.box import Box
-from lab.callers import command, kind_of, read
+from lab.callers import command, read, reply_outcome
 from lab.counted import CountedFleet
-from lab.counter import Door, Store, Way
+from lab.counter import CounterServer, ServerFaults, Store
 from standflow.counter.client import CallEffect, CallResult
 from standflow.counter.quota_calls import QuotaCalls
 from standflow.exchange import Outcome
@@ -275,7 +275,7 @@
 def test_totals_of_a_name_arrive_in_call_order() -> None:
     """Even if a later call's answer arrives first, on another connection."""
     loop, outcomes = Loop(print), list[tuple[Outcome, float]]()
-    with Door(Store()) as server:
+    with CounterServer(Store()) as server:
         quota_calls = QuotaCalls(
             loop,
             print,
@@ -327,7 +327,7 @@
 # Real processes.
 
 
-def config_of_two(number: int, box: Box, server: Door | None) -> dict[str, Any]:
+def config_of_two(number: int, box: Box, server: CounterServer | None) -> dict[str, Any]:
     """Configuration of one of two ingresses that may not exchange messages."""
     raw = config(known={"revision": 1, "complete": True, "members": [member(box.address)]})
     settings = raw["settings"]
@@ -344,13 +344,13 @@
     for serial in range(requests):
         options = b"c=look,t=plain,d=3000,units=1,spread=2,first=0"
         connection.sendall(command([b"Q.ASK", b"%016x" % 7, f"{name}{serial}".encode(), options]))
-        count += kind_of(read(connection)) == "served"
+        count += reply_outcome(read(connection)) == "served"
     return count
 
 
 def test_two_ingresses_hold_a_quota_through_the_counter_only(tmp_path: Path) -> None:
     with ExitStack() as stack:
-        box, server = stack.enter_context(Box()), stack.enter_context(Door(Store()))
+        box, server = stack.enter_context(Box()), stack.enter_context(CounterServer(Store()))
         both: list[Program] = []
         for number in range(2):
             folder = tmp_path / f"{number}"
@@ -363,10 +363,10 @@
 
 
 def test_a_request_of_a_disconnected_client_is_not_sent_after_the_counter_call(tmp_path: Path) -> None:
-    way = Way(delay=0.5)
+    way = ServerFaults(delay=0.5)
     with (
         Box() as box,
-        Door(Store(), way) as server,
+        CounterServer(Store(), way) as server,
         program(tmp_path, config_of_two(0, box, server)) as running,
     ):
         leaves, stays = running.call(), running.call()
@@ -386,8 +386,8 @@
 
 def test_a_reload_moves_the_calls_to_another_counter(tmp_path: Path) -> None:
     with ExitStack() as stack:
-        box, server = stack.enter_context(Box()), stack.enter_context(Door(Store()))
-        other = stack.enter_context(Door(Store()))
+        box, server = stack.enter_context(Box()), stack.enter_context(CounterServer(Store()))
+        other = stack.enter_context(CounterServer(Store()))
         running = stack.enter_context(program(tmp_path, config_of_two(0, box, server)))
         connection = running.call()
         assert served(connection, 1, "a") == 1
@@ -400,7 +400,7 @@
 
 
 def test_a_silent_counter_delays_a_response_only_by_its_timeout(tmp_path: Path) -> None:
-    with Box() as box, Door(Store(), Way(cut={0})) as server:
+    with Box() as box, CounterServer(Store(), ServerFaults(cut={0})) as server:
         raw = config_of_two(0, box, server)
         raw["settings"]["FamilyInfo"]["CountLimitUs"] = 100_000
         with program(tmp_path, raw) as running:
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lab.counter import Door, Store, Way
+from lab.counter import CounterServer, ServerFaults, Store
 from standflow.counter.client import (
     MAX_BODY_BYTES,
     MAX_SILENT_CONNECTIONS,
@@ -71,7 +71,7 @@
 
 
 def test_amounts_add_up_by_name_until_the_name_expires() -> None:
-    with Door(Store(parts=3)) as door, rig(door.address) as at:
+    with CounterServer(Store(parts=3)) as door, rig(door.address) as at:
         calls = [
             at.add("a", 2.5),
             at.add("b", 4.0),
@@ -89,7 +89,10 @@
 
 
 def test_many_calls_at_once_share_a_bounded_number_of_connections() -> None:
-    with Door(Store(per_second=1e6), most=2) as door, rig(door.address, max_connections=2) as at:
+    with (
+        CounterServer(Store(per_second=1e6), max_per_peer=2) as door,
+        rig(door.address, max_connections=2) as at,
+    ):
         calls = [at.add("a") for _ in range(5 * PIPELINE_DEPTH)]
         totals = [end.total for end in at.results(*calls)]
         assert sorted(totals, key=lambda total: total or 0) == [
@@ -99,26 +102,29 @@
 
 
 def test_invalid_totals_affect_fewer_and_fewer_pipelined_calls() -> None:
-    with Door(Store(per_second=1e6), Way(spoil=1.0)) as door, rig(door.address) as at:
+    with (
+        CounterServer(Store(per_second=1e6), ServerFaults(corrupt_share=1.0)) as door,
+        rig(door.address) as at,
+    ):
         known = []
         for _ in range(5):
             ends = at.results(*[at.add("a") for _ in range(PIPELINE_DEPTH)])
             known.append(sum(end.effect is CallEffect.ADDED for end in ends))
         assert known[0] < PIPELINE_DEPTH / 4
         assert known[-1] == PIPELINE_DEPTH  # each has a connection of its own, so only its total is lost
-        door.way.spoil = 0.0
+        door.faults.corrupt_share = 0.0
         assert at.results(at.add("a"))[0].total is not None
 
 
 def test_a_rejected_call_is_reported_as_not_added_and_overloaded() -> None:
-    with Door(Store(per_second=10.0, line=0.05)) as door, rig(door.address) as at:
+    with CounterServer(Store(per_second=10.0, line=0.05)) as door, rig(door.address) as at:
         first, second = at.results(at.add("a"), at.add("a"))
         assert (first.effect, first.overloaded) == (CallEffect.ADDED, False)
         assert (second.effect, second.overloaded, second.total) == (CallEffect.NOT_ADDED, True, None)
 
 
 def test_a_slow_answer_is_uncertain_at_the_timeout_and_settled_late() -> None:
-    with Door(Store(), Way(delay=0.1)) as door, rig(door.address, 0.02) as at:
+    with CounterServer(Store(), ServerFaults(delay=0.1)) as door, rig(door.address, 0.02) as at:
         call = at.add("a", 3.0)
         assert at.results(call)[0].effect is CallEffect.UNCERTAIN
         assert 0.02 <= call[0].latency < 0.09
@@ -127,10 +133,10 @@
 
 
 def test_a_call_that_is_never_answered_stays_uncertain_and_so_do_those_pipelined_behind_it() -> None:
-    with Door(Store(parts=1), Way(cut={0})) as door, rig(door.address, 0.02) as at:
+    with CounterServer(Store(parts=1), ServerFaults(cut={0})) as door, rig(door.address, 0.02) as at:
         assert [end.effect for end in at.results(at.add("a"), at.add("b"))] == [CallEffect.UNCERTAIN] * 2
         run_until(at.loop, lambda: at.reasons() == ["silent"])
-        door.way.cut.clear()
+        door.faults.cut.clear()
         assert at.results(at.add("a"))[0].total == 1.0  # on a new connection
 
 
@@ -153,7 +159,7 @@
 
 
 def test_few_connections_are_opened_to_a_counter_that_does_not_answer() -> None:
-    with Door(Store(parts=1), Way(cut={0})) as door, rig(door.address, 0.02) as at:
+    with CounterServer(Store(parts=1), ServerFaults(cut={0})) as door, rig(door.address, 0.02) as at:
         for _ in range(3 * MAX_SILENT_CONNECTIONS):
             at.results(at.add("a"))
         assert len(at.client.connections) <= MAX_SILENT_CONNECTIONS
@@ -238,7 +244,7 @@
             self.sock.close()
 
     store = Store()
-    with Door(store) as door, rig(door.address, 0.05) as at:
+    with CounterServer(store) as door, rig(door.address, 0.05) as at:
         assert at.results(at.add("a"))[0].effect is CallEffect.ADDED
         connection = at.client.connections[0]
         connection.sock = BlockingSocket(connection.sock)  # type: ignore[assignment]
@@ -272,7 +278,7 @@
 
 
 def test_a_new_address_is_used_at_once_and_open_calls_are_settled_by_their_bytes() -> None:
-    with listener() as old, Door(Store()) as door, rig(old.getsockname()) as at:
+    with listener() as old, CounterServer(Store()) as door, rig(old.getsockname()) as at:
         call = at.add("a")
         with accepted(old) as sock:
             run_until(at.loop, lambda: at.client.connections[0].calls)
@@ -284,7 +290,7 @@
 
 
 def test_no_call_is_lost_when_the_counter_closes_an_idle_connection() -> None:
-    with Door(Store(), idle=0.02) as door, rig(door.address) as at:
+    with CounterServer(Store(), idle=0.02) as door, rig(door.address) as at:
         assert at.results(at.add("a"))[0].total == 1.0
         run_until(at.loop, lambda: at.reasons() == ["peer_closed"])
         assert at.results(at.add("a"))[0].total == 2.0
--- a/tests/test_counter_program.py
+++ b/tests/test_counter_program.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 
 from lab.box import Box
-from lab.callers import command, kind_of, read
-from lab.counter import Door, Store, Way
-from lab.processes import LIMIT, Ingress
+from lab.callers import command, read, reply_outcome
+from lab.counter import CounterServer, ServerFaults, Store
+from lab.processes import WAIT_LIMIT_SECONDS, Ingress
 from standflow.counter.ledger import PERIOD_SECONDS, decode_register
 from standflow.counter.rate_limit import DECREASE_FACTOR, DECREASE_INTERVAL_SECONDS, AdaptiveRateLimit
 
@@ -44,7 +44,7 @@
 
 
 @contextmanager
-def pair(folder: Path, box: Box, door: Door) -> Iterator[list[Ingress]]:
+def pair(folder: Path, box: Box, door: CounterServer) -> Iterator[list[Ingress]]:
     made: list[Ingress] = []
     try:
         for number in range(2):
@@ -65,19 +65,19 @@
         for serial in range(tries):
             options = b"c=look,t=plain,d=3000,units=1,spread=2,first=0"
             sock.sendall(command([b"Q.ASK", b"%016x" % 7, f"{name}{serial}".encode(), options]))
-            count += kind_of(read(sock)) == "served"
+            count += reply_outcome(read(sock)) == "served"
     return count
 
 
 def until(met: Callable[[], object]) -> None:
     """Waits for a condition. The timeout is generous, so that a slow machine fails no test."""
-    end = time.monotonic() + LIMIT
+    end = time.monotonic() + WAIT_LIMIT_SECONDS
     while not met():
         assert time.monotonic() < end
         time.sleep(0.02)
 
 
-def units_in_counter(door: Door, ring_index: int) -> int:
+def units_in_counter(door: CounterServer, ring_index: int) -> int:
     """The highest running count in the counter for a ring index, in units."""
     found = [
         decode_register(b"", ring_index, number.total)
@@ -87,14 +87,14 @@
     return max((reading.count for reading in found if reading is not None), default=0) // 4
 
 
-def read_by_the_other(door: Door, ring_index: int) -> int:
+def read_by_the_other(door: CounterServer, ring_index: int) -> int:
     """How often the register of a ring index was read, almost always by the other ingress."""
     with door.store.lock:
         return sum(count for name, count in door.store.reads.items() if name.endswith(f".{ring_index}"))
 
 
 def test_the_counter_enforces_a_quota_over_two_ingresses_without_peer_messages(tmp_path: Path) -> None:
-    with Box() as box, Door(Store()) as door, pair(tmp_path, box, door) as (first, second):
+    with Box() as box, CounterServer(Store()) as door, pair(tmp_path, box, door) as (first, second):
         began = time.monotonic()
         two = served(second, 1, "b")
         until(lambda: units_in_counter(door, 1) == two == 1)
@@ -116,7 +116,12 @@
 def test_after_a_reload_to_an_empty_counter_the_use_is_written_to_it(
     tmp_path: Path,
 ) -> None:
-    with Box() as box, Door(Store()) as door, Door(Store()) as other, pair(tmp_path, box, door) as both:
+    with (
+        Box() as box,
+        CounterServer(Store()) as door,
+        CounterServer(Store()) as other,
+        pair(tmp_path, box, door) as both,
+    ):
         first, second = both
         while time.time() % PERIOD_SECONDS > PERIOD_SECONDS - 6.0:
             time.sleep(
@@ -130,16 +135,16 @@
             assert moved != text
             (tmp_path / path).write_text(moved)
             one.signal(signal.SIGHUP)
-            one.logged("reload: done")
+            one.wait_for_log("reload: done")
             if one is first:  # if both moved at once, either might find it empty, and the other refilled
                 until(lambda: units_in_counter(other, 0) == 2)  # the first ingress has rewritten its register
-                first.logged("counter: good -> emptied", 10.0)
+                first.wait_for_log("counter: good -> emptied", 10.0)
         until(lambda: units_in_counter(other, 0) == 2)
         assert second.process.poll() is None
 
 
 def test_a_restarted_ingress_learns_the_use_of_its_previous_run(tmp_path: Path) -> None:
-    with Box() as box, Door(Store()) as door, pair(tmp_path, box, door) as (first, _):
+    with Box() as box, CounterServer(Store()) as door, pair(tmp_path, box, door) as (first, _):
         assert served(first, 3, "a") == 3
         until(lambda: units_in_counter(door, 0) == 3)
         first.process.kill()
@@ -153,18 +158,22 @@
 
 
 def test_a_counter_that_does_not_answer_delays_no_request(tmp_path: Path) -> None:
-    with Box() as box, Door(Store(), Way(cut={0})) as door, pair(tmp_path, box, door) as (first, _):
+    with (
+        Box() as box,
+        CounterServer(Store(), ServerFaults(cut={0})) as door,
+        pair(tmp_path, box, door) as (first, _),
+    ):
         assert served(first, 1, "a") == 1
-        first.logged("end counter silent", 10.0)
+        first.wait_for_log("end counter silent", 10.0)
 
 
 def test_an_unreachable_counter_is_logged_and_delays_no_request(tmp_path: Path) -> None:
-    with Box() as box, Door(Store()) as door, pair(tmp_path, box, door) as (first, _):
+    with Box() as box, CounterServer(Store()) as door, pair(tmp_path, box, door) as (first, _):
         assert served(first, 1, "a") == 1
         until(lambda: units_in_counter(door, 0) == 1)
         door.close()
-        first.logged(r"counter: \w+ -> gone", 10.0)
-        first.logged(r"quotas: \w+ -> neither", 10.0)
+        first.wait_for_log(r"counter: \w+ -> gone", 10.0)
+        first.wait_for_log(r"quotas: \w+ -> neither", 10.0)
         assert served(first, 1, "b") == 1
 
 
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -6,24 +6,24 @@
 
 import pytest
 
-from lab.datagrams import Datagrams
+from lab.datagrams import DatagramProxy
 
 
 def test_a_datagram_arrives_from_the_address_at_which_its_sender_is_seen_and_a_cut_ends_that() -> None:
-    with Datagrams(3) as network:
+    with DatagramProxy(3) as network:
         socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(3)]
         for number, sock in enumerate(socks):
             sock.bind(network.real[number])
             sock.settimeout(5.0)
-        socks[0].sendto(b"one", network.seen_by(0)[2])
-        assert socks[2].recvfrom(64) == (b"one", network.seen_by(2)[0])
+        socks[0].sendto(b"one", network.addresses_for(0)[2])
+        assert socks[2].recvfrom(64) == (b"one", network.addresses_for(2)[0])
         network.cut.add(0)
-        socks[0].sendto(b"two", network.seen_by(0)[2])
-        socks[1].sendto(b"three", network.seen_by(1)[2])
-        assert socks[2].recvfrom(64) == (b"three", network.seen_by(2)[1])
+        socks[0].sendto(b"two", network.addresses_for(0)[2])
+        socks[1].sendto(b"three", network.addresses_for(1)[2])
+        assert socks[2].recvfrom(64) == (b"three", network.addresses_for(2)[1])
         network.cut.clear()
         network.loss = 1.0
-        socks[1].sendto(b"four", network.seen_by(1)[2])
+        socks[1].sendto(b"four", network.addresses_for(1)[2])
         socks[2].settimeout(0.3)
         with pytest.raises(TimeoutError):
             socks[2].recv(64)
--- a/tests/test_faulty_calls.py
+++ b/tests/test_faulty_calls.py
@@ -16,7 +16,7 @@
 import pytest
 
 from lab.box import Box
-from lab.callers import kind_of, read
+from lab.callers import read, reply_outcome
 from lab.faulty_calls import SHORT, VARIABLE
 from standflow.counter.client import CallEffect, CallResult, CounterClient
 from standflow.exchange import Outcome, RouteSet
@@ -59,7 +59,7 @@
         with socket.create_connection(address, LIMIT) as client:
             client.sendall(command(f"{len(ends):04x}", d=2000))
             try:
-                ends.append(kind_of(read(client)))
+                ends.append(reply_outcome(read(client)))
             except OSError:
                 ends.append("lost")
         time.sleep(max(0.0, due - time.monotonic()))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -29,18 +29,18 @@
     answered_twice,
     faults,
     late,
+    membership_agreement,
     pushed,
     quotas,
     ran_twice,
     record,
-    to_drained,
+    requests_to_draining,
     unanswered,
-    views,
 )
 from lab.fleet.site import BURST, RATE, Site
 from lab.processes import ROOT, Ingress
-from lab.quotas import judge
-from lab.streams import Streams
+from lab.quotas import evaluate_quotas
+from lab.streams import TcpProxy
 from standflow.config import ConfigError
 from standflow.config.operators import load
 from tests.wire import LIMIT
@@ -73,9 +73,9 @@
 def test_rules_quotas_and_one_membership_whatever_is_done_to_the_fleet(name: str, seed: int) -> None:
     size, text, span = CASES[name]
     with Site(size, seed=seed) as site:
-        assert site.until_agreed(LIMIT) < LIMIT
+        assert site.wait_for_agreement(LIMIT) < LIMIT
         site.run(schedule.read(text, size), span)
-        assert site.until_agreed(LIMIT) < LIMIT
+        assert site.wait_for_agreement(LIMIT) < LIMIT
         table = record(site)
     assert table.filter(pl.col("end") == "served").height > 50  # the load was played
     assert faults(table) == []
@@ -93,9 +93,9 @@
 def test_rules_and_quotas_whatever_happens_between_ingresses_and_boxes(name: str, seed: int) -> None:
     text, span = ON_STREAMS[name]
     with Site(5, boxes=3, streams=True, seed=seed) as site:
-        assert site.until_agreed(LIMIT) < LIMIT
+        assert site.wait_for_agreement(LIMIT) < LIMIT
         site.run(schedule.read(text, 5), span)
-        assert site.until_agreed(LIMIT) < LIMIT
+        assert site.wait_for_agreement(LIMIT) < LIMIT
         table = record(site)
         assert site.streams is not None
         assert site.streams.passed > 10_000
@@ -105,10 +105,10 @@
 
 
 def test_streams_are_delayed_paused_and_reset() -> None:
-    with socket.create_server(("127.0.0.1", 0)) as server, Streams(2, [server.getsockname()]) as streams:
+    with socket.create_server(("127.0.0.1", 0)) as server, TcpProxy(2, [server.getsockname()]) as streams:
         near, far = [], []
         for n in range(2):
-            near.append(socket.create_connection(streams.seen_by(n)[0], LIMIT))
+            near.append(socket.create_connection(streams.addresses_for(n)[0], LIMIT))
             near[n].sendall(b"hello")
             far.append(server.accept()[0])
             far[n].settimeout(LIMIT)
@@ -130,7 +130,7 @@
         for sock in (near[0], far[0]):
             with pytest.raises(ConnectionResetError):
                 sock.recv(9)
-        address = streams.seen_by(0)[0]
+        address = streams.addresses_for(0)[0]
         with pytest.raises(ConnectionResetError), socket.create_connection(address, LIMIT) as another:
             another.recv(9)
         near[1].sendall(b"end")
@@ -148,24 +148,24 @@
     # for 1.65 and more.
     with Site(5, view=False, seed=seed) as site:
         site.run(schedule.read("3 cut 3 4", 5), 16.0)
-        asked = judge([replace(one, ran=True) for one in site.tries()], RATE, BURST)
+        asked = evaluate_quotas([replace(one, ran=True) for one in site.quota_history()], RATE, BURST)
         assert quotas(record(site)).use > 0.73 * asked.use
-        assert not any("fleet" in line for _, _, ingress in site.lives for line in ingress.log)
+        assert not any("fleet" in line for _, _, ingress in site.process_runs for line in ingress.log)
 
 
 def test_three_to_twelve_and_back_to_three_by_joins_and_leaves() -> None:
     with Site(12) as site:
         site.stop(*range(3, 12))
-        assert site.until_agreed(LIMIT) < LIMIT
+        assert site.wait_for_agreement(LIMIT) < LIMIT
         for members in ((3, 4, 5), (6, 7, 8, 9, 10, 11)):
             site.start(*members)
-            assert site.until_agreed(LIMIT) < LIMIT
+            assert site.wait_for_agreement(LIMIT) < LIMIT
         site.stop(*range(3, 12))
-        assert site.until_agreed(LIMIT) < LIMIT
-        assert [view for view in site.views().values()] == [{0, 1, 2}] * 3
+        assert site.wait_for_agreement(LIMIT) < LIMIT
+        assert [view for view in site.membership_views().values()] == [{0, 1, 2}] * 3
         left = [line for line in site.live[0].log if "-> left" in line]
         assert len(left) >= 9  # announced by the members themselves
-    assert all(ingress.process.returncode in (0, None) for _, _, ingress in site.lives)
+    assert all(ingress.process.returncode in (0, None) for _, _, ingress in site.process_runs)
 
 
 SEEDED = """
@@ -205,7 +205,7 @@
 
 def metric(ingress: Ingress, name: str) -> int:
     """One of the metrics that operators fetch."""
-    match = ingress.logged(r"ops \S+ on ([\d.]+):(\d+)")
+    match = ingress.wait_for_log(r"ops \S+ on ([\d.]+):(\d+)")
     with socket.create_connection((match[1], int(match[2])), LIMIT) as sock:
         sock.sendall(b"GET /api/telemetry HTTP/1.1\r\nHost: a\r\n\r\n")
         data = b""
@@ -270,11 +270,11 @@
         try:
             wait_for(lambda: metric(other, "fleet.present") == 2)
             started[0].signal(signal.SIGSTOP)
-            other.logged(r"fleet: place 0: present -> suspected")
+            other.wait_for_log(r"fleet: place 0: present -> suspected")
             started[0].signal(signal.SIGCONT)
             started.append(Ingress(tmp_path / "0.conf", (listener.fileno(),), environment))
-            started[1].logged("took over the state of the previous process")
-            other.logged(r"fleet: place 0: .* -> present in a new life")
+            started[1].wait_for_log("took over the state of the previous process")
+            other.wait_for_log(r"fleet: place 0: .* -> present in a new life")
             assert started[0].end() == 0  # it sends nothing, so the member does not leave with it
             wait_for(lambda: metric(other, "fleet.present") == 2)
             assert not any("-> left" in line for line in other.log)
@@ -331,18 +331,18 @@
     assert quotas(table(*(asked(1.0 + n / 100, f"x{n}") for n in range(60)))).use > 1.1
     began = [{"t": 0.0, "what": "began", "member": n, "place": n, "state": "began"} for n in (0, 1)]
     heard = [{"t": 1.0 + n, "what": "view", "member": n, "place": 1 - n, "state": "present"} for n in (0, 1)]
-    assert views(table(*began, *heard)).agree
-    assert views(table(*began, *heard)).since == 2.0
+    assert membership_agreement(table(*began, *heard)).agree
+    assert membership_agreement(table(*began, *heard)).since == 2.0
     gone = {"t": 3.0, "what": "view", "member": 0, "place": 1, "state": "gone"}
-    assert not views(table(*began, *heard, gone)).agree
-    assert views(table(*began, *heard, gone, {"t": 4.0, "what": "ended", "member": 1})).agree
+    assert not membership_agreement(table(*began, *heard, gone)).agree
+    assert membership_agreement(table(*began, *heard, gone, {"t": 4.0, "what": "ended", "member": 1})).agree
     drain = {"t": 1.0, "what": "step", "member": 1, "state": "drain"}
     back = drain | {"t": 5.0, "state": "back"}
     came = {"what": "came", "place": 1, "took": 0.5}
     kept = [came | {"t": 1.2}, came | {"t": 5.1}, came | {"t": 3.0, "place": 0}]
-    assert to_drained(table(drain, back, *kept)) == 0
-    assert to_drained(table(drain, back, *kept, came | {"t": 3.0})) == 1
-    assert to_drained(table(drain, came | {"t": 9.0})) == 1
+    assert requests_to_draining(table(drain, back, *kept)) == 0
+    assert requests_to_draining(table(drain, back, *kept, came | {"t": 3.0})) == 1
+    assert requests_to_draining(table(drain, came | {"t": 9.0})) == 1
     overload = int(4.0 * (0.15 + 0.85 * 1.5 / 17.0) * 3.0 / 0.5)  # concurrent requests that overload it
     assert pushed(table(back, *[came | {"t": 5.1}] * (overload - 1))) < 1.0
     assert pushed(table(back, *[came | {"t": 5.1}] * (overload + 2))) > 1.0
--- a/tests/test_fleet_quotas.py
+++ b/tests/test_fleet_quotas.py
@@ -13,7 +13,7 @@
 from hoistfold.gateway import Gateway
 from hoistfold.partition import MINORITY_SHARE
 from lab.fleet.simulated import Members
-from lab.quotas import Try, Verdict, judge
+from lab.quotas import QuotaReport, TenantRequest, evaluate_quotas
 from standflow.config.model import Address
 from standflow.recovery.records import Record
 from standflow.recovery.trust import BootClock, Plan, select_trusted
@@ -33,7 +33,7 @@
         self.random, self.loss = random.Random(9), loss
         self.blocked: Callable[[int, int], bool] = lambda sender, to: False
         self.notified: dict[int, i.MembershipChanged] = {}
-        self.requests: list[Try] = []
+        self.requests: list[TenantRequest] = []
         super().__init__(size, peer_intake=100.0, membership=membership, **changes)
         self.now = 1e6
 
@@ -59,7 +59,7 @@
             number = self.random.choices(range(self.size), weights)[0]
             if number in self.gateways:
                 ran = self.submit(number, f"r{len(self.requests)}", tenant=tenant, ring_size=self.size)
-                self.requests.append(Try(at, tenant, 1.0, ran))
+                self.requests.append(TenantRequest(at, tenant, 1.0, ran))
         self.advance(self.now + 0.0)
 
     def advance(self, until: float) -> None:
@@ -114,8 +114,8 @@
             rows = [[w.key, w.plan, w.first, w.size, w.own, w.others] for w in found.windows]
             handover.restore_windows(self.gateways[number], self.now, rows)
 
-    def verdict(self) -> Verdict:
-        return judge(self.requests, RATE, BURST)
+    def verdict(self) -> QuotaReport:
+        return evaluate_quotas(self.requests, RATE, BURST)
 
 
 def _arrivals(random_source: random.Random, seconds: float, rate: float) -> list[float]:
@@ -172,7 +172,7 @@
         ring.advance(ring.now + 0.1)
         for number in (3, 4):
             ran = ring.submit(number, f"r{len(ring.requests)}", tenant="one", ring_size=SIZE)
-            ring.requests.append(Try(ring.now, "one", 1.0, ran))
+            ring.requests.append(TenantRequest(ring.now, "one", 1.0, ran))
     return ring.verdict().use * (BURST + 10.0 * RATE)
 
 
@@ -265,8 +265,8 @@
         super().restart_all(downtime, store)
         self.next_epochs.clear()
 
-    def verdict(self) -> Verdict:
-        return judge(self.requests, self.plan.rate, self.plan.burst)
+    def verdict(self) -> QuotaReport:
+        return evaluate_quotas(self.requests, self.plan.rate, self.plan.burst)
 
 
 @pytest.mark.parametrize("number", range(40))
@@ -330,7 +330,7 @@
     ring.run(10.0, MIXED_LOAD, (3, 3, 2, 0, 0))
     ring.blocked = lambda sender, to: False
     ring.run(10.0, MIXED_LOAD)
-    assert ring.verdict().wrong <= 0.02
+    assert ring.verdict().refused_share <= 0.02
     assert ring.verdict().use <= 1.10
 
 
@@ -400,7 +400,7 @@
         ring.advance(ring.now + 0.1)
         for number in minority:
             ran = ring.submit(number, f"r{len(ring.requests)}", tenant="one", ring_size=size)
-            ring.requests.append(Try(ring.now, "one", 1.0, ran))
+            ring.requests.append(TenantRequest(ring.now, "one", 1.0, ran))
             unreachable_counts.add(len(ring.notified[number].unreachable))
     assert unreachable_counts & set(range(1, size - len(minority)))  # deaths were detected one by one
     assert size - len(minority) in unreachable_counts
@@ -415,7 +415,7 @@
     ring.run(8.0, MIXED_LOAD)
     ring.kill(3, 4)
     ring.run(20.0, MIXED_LOAD, (3, 3, 2, 0, 0))
-    assert ring.verdict().wrong <= 0.02
+    assert ring.verdict().refused_share <= 0.02
     assert ring.verdict().use <= 1.10
     assert all(quota.share == 1.0 for quota in ring.gateways[0].quotas.values())
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -36,7 +36,7 @@
 
 def settled(size: int, loss: float = 0.0) -> Members:
     members = Members(size, 3, loss=loss)
-    assert members.until(members.agree, 10.0) < 10.0
+    assert members.until(members.all_agree, 10.0) < 10.0
     members.run(2.0)
     return members
 
@@ -55,23 +55,23 @@
 def test_a_crash_and_a_join_reach_all_members_in_time(loss: float) -> None:
     members = settled(20, loss=loss)
     members.kill(7)
-    assert members.until(members.agree, 5.0) < 5.0
+    assert members.until(members.all_agree, 5.0) < 5.0
     members.start(7)
-    assert members.until(members.agree, 3.0) < 3.0
+    assert members.until(members.all_agree, 3.0) < 3.0
 
 
 @LOSSES
 def test_seven_of_ten_killed_at_once_are_dead_and_back(loss: float) -> None:
     members = settled(10, loss=loss)
     members.kill(*range(3, 10))
-    assert members.until(members.agree, 10.0) < 10.0
+    assert members.until(members.all_agree, 10.0) < 10.0
     assert not any(membership.has_quorum() for membership in members.live.values())
     members.run(REMOVE_AFTER_SECONDS + 3.0)
     # a minority removes nobody
     assert not any(membership.has_quorum() for membership in members.live.values())
     for member_id in range(3, 10):
         members.start(member_id)
-    assert members.until(members.agree, 5.0) < 5.0
+    assert members.until(members.all_agree, 5.0) < 5.0
     assert all(membership.has_quorum() for membership in members.live.values())
 
 
@@ -91,7 +91,7 @@
         4,
     }
     heal(members)
-    assert members.until(members.agree, 5.0) < 5.0
+    assert members.until(members.all_agree, 5.0) < 5.0
 
 
 def test_removed_members_return_when_the_partition_heals() -> None:
@@ -102,7 +102,7 @@
     assert members.live[0].has_quorum()
     assert not members.live[3].has_quorum()
     heal(members)
-    assert members.until(members.agree, 5.0) < 5.0
+    assert members.until(members.all_agree, 5.0) < 5.0
 
 
 def test_a_restart_before_and_after_the_suspicion_timeout_is_distinguished_from_the_earlier_process() -> None:
@@ -112,7 +112,7 @@
         members.kill(2)
         members.run(wait)
         members.start(2)
-        assert members.until(members.agree, 3.0) < 3.0
+        assert members.until(members.all_agree, 3.0) < 3.0
         assert {membership.table.updates[2].boot_time_ms for membership in members.live.values()} == {
             members.live[2].table.own.boot_time_ms
         }
@@ -128,7 +128,7 @@
     members = settled(4)
     members.kill(1)
     members.start(1, at=members.now - 3600.0)
-    assert members.until(members.agree, 3.0) < 3.0
+    assert members.until(members.all_agree, 3.0) < 3.0
     assert not members.live[1].own.yielded
 
 
@@ -137,17 +137,17 @@
     for _ in range(4):
         members.hold(3)
         members.run(3.0)
-        members.go_on(3)
+        members.resume(3)
         members.run(0.3)
         assert not members.live[3].dead_ids()
-        assert members.until(members.agree, 5.0) < 5.0
+        assert members.until(members.all_agree, 5.0) < 5.0
 
 
 def test_a_chain_where_two_do_not_reach_each_other_keeps_all_three() -> None:
     members = settled(3, loss=0.065)
     members.blocked = lambda sender, to: {sender, to} == {0, 2}
     members.run(30.0)
-    assert members.agree()
+    assert members.all_agree()
     assert all(not membership.dead_ids() for membership in members.live.values())
 
 
@@ -162,7 +162,7 @@
     )
     assert not any(snapshots[member_id].has_quorum for member_id in (4, 5))
     heal(members)
-    assert members.until(members.agree, 5.0) < 5.0
+    assert members.until(members.all_agree, 5.0) < 5.0
     assert all(membership.take_snapshot().has_quorum for membership in members.live.values())
 
 
@@ -220,14 +220,14 @@
     members = Members(12, 5, start=False)
     for member_id in range(3):
         members.start(member_id)
-    assert members.until(members.agree, 5.0) < 5.0
+    assert members.until(members.all_agree, 5.0) < 5.0
     for member_id in range(3, 12):
         members.start(member_id)
-    assert members.until(members.agree, 5.0) < 5.0
+    assert members.until(members.all_agree, 5.0) < 5.0
     for member_id in range(3, 12):
         members.leave(member_id)
         members.run(0.5)
-    assert members.until(members.agree, 3.0) < 3.0
+    assert members.until(members.all_agree, 3.0) < 3.0
     assert all(membership.has_quorum() and not membership.dead_ids() for membership in members.live.values())
 
 
@@ -308,7 +308,7 @@
     members.start(3)
     assert members.until(lambda: 3 in members.live[0].take_snapshot().slow_start_members, 2.0) < 2.0
     members.kill(3)
-    members.until(members.agree, 5.0)
+    members.until(members.all_agree, 5.0)
     assert 3 in members.live[0].take_snapshot().slow_start_members
     members.run(SETTLE_SECONDS + 1.0)
     assert 3 not in members.live[0].take_snapshot().slow_start_members
@@ -405,13 +405,13 @@
             members.hold(member_id)
             members.run(2.0)
             if member_id in members.stopped:
-                members.go_on(member_id)
+                members.resume(member_id)
         elif what == "noise":
             for membership in members.live.values():
                 odd = Message(Kind.PING, member_id, 5, 5, 0, 0, 200, 9, (Update(99, 1, 1, State.DEAD),))
                 membership.receive(members.now, odd, ("127.0.0.1", 9))
         members.run(1.0)
     heal(members)
-    assert members.until(members.agree, 20.0) < 20.0
+    assert members.until(members.all_agree, 20.0) < 20.0
     members.run(3.0)
-    assert members.agree()
+    assert members.all_agree()
--- a/tests/test_modes.py
+++ b/tests/test_modes.py
@@ -9,7 +9,7 @@
 import pytest
 
 from hoistfold import interface as i
-from lab.quotas import Try, judge
+from lab.quotas import TenantRequest, evaluate_quotas
 from standflow.counter.health import State
 from standflow.counter.modes import (
     CROSS_CHECK_SHARE,
@@ -67,7 +67,7 @@
     ring = mode in (Mode.BOTH, Mode.RING)
     fleet = ReconciledNetwork(members, ring=ring, may_message_peers=ring, max_units=1.0)
     fleet.reconciliation_readable = mode in (Mode.BOTH, Mode.COUNTER)
-    chance, tries = random.Random(members), list[Try]()
+    chance, tries = random.Random(members), list[TenantRequest]()
     carry = fleet.deliver
 
     def deliver(sender: int, actions: list[i.Action]) -> None:
@@ -80,13 +80,13 @@
         for n in range(members):
             for serial in range(round(chance.random() < demand / members * fleet.gateways[0].epoch)):
                 ran = fleet.submit(n, f"{fleet.now} {n} {serial}", ring_size=members)
-                tries.append(Try(fleet.now, "a", 1.0, ran))
+                tries.append(TenantRequest(fleet.now, "a", 1.0, ran))
     epoch = fleet.gateways[0].epoch
     parameters = FleetParameters(BASIC.rate, BASIC.burst, members, demand, epoch, epoch, loss=loss)
     span = min(report_age(mode, parameters), 10.0)
     most = max(sum(one.at <= other.at < one.at + span + epoch / 2 for other in tries) for one in tries)
     parameters = replace(parameters, demand=most / span)
-    assert judge(tries, BASIC.rate, BASIC.burst).use <= use_bound(mode, parameters)
+    assert evaluate_quotas(tries, BASIC.rate, BASIC.burst).use <= use_bound(mode, parameters)
 
 
 def test_the_bound_grows_with_unseen_demand_up_to_a_burst_for_each_other_member() -> None:
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -17,7 +17,7 @@
 from lab.fleet.schedule import Step
 from lab.fleet.site import Deployment, Site
 from lab.processes import Ingress
-from lab.quotas import judge
+from lab.quotas import evaluate_quotas
 from standflow.recovery.records import Record, encode, header_line, identity, read
 from standflow.recovery.store import RECORDS_FILE
 from tests.wire import LIMIT
@@ -33,7 +33,7 @@
 
 
 def call(ingress: Ingress, method: str, path: str) -> str:
-    match = ingress.logged(r"ops \S+ on ([\d.]+):(\d+)")
+    match = ingress.wait_for_log(r"ops \S+ on ([\d.]+):(\d+)")
     args = ["curl", "-s", "-m", "3", "-X", method, f"http://{match[1]}:{match[2]}{path}"]
     return subprocess.run(args, capture_output=True, text=True, check=True).stdout
 
@@ -65,9 +65,9 @@
 
 def losses(site: Site, text: str) -> pl.DataFrame:
     """Plays a schedule of power losses and returns the record of the site."""
-    assert site.until_agreed(LIMIT) < LIMIT
+    assert site.wait_for_agreement(LIMIT) < LIMIT
     site.run(schedule.read(text, SIZE), 13.0)
-    assert site.until_agreed(LIMIT) < LIMIT
+    assert site.wait_for_agreement(LIMIT) < LIMIT
     return record(site)
 
 
@@ -88,26 +88,26 @@
     slow = Deployment(rate=0.5, burst=12.0)
     with OverloadedSite(SIZE, store=True, seed=seed, deployment=slow) as site:
         losses(site, loss(3, 1))
-        tries = site.tries()
-    assert sum(one.ran for one in tries) > 50
-    assert judge(tries, slow.rate, slow.burst).use <= 1.10
+        quota_history = site.quota_history()
+    assert sum(one.ran for one in quota_history) > 50
+    assert evaluate_quotas(quota_history, slow.rate, slow.burst).use <= 1.10
 
 
 def test_a_second_loss_in_the_middle_of_the_return_and_one_alone_first(seed: int) -> None:
     text = "5 kill 0 1 2 3 4 5\n5.5 start 0 1 2\n6.2 kill 0 1 2\n6.6 start 4\n9 start 0 1 2 3 5"
     with OverloadedSite(SIZE, store=True, seed=seed) as site:
-        assert site.until_agreed(LIMIT) < LIMIT
+        assert site.wait_for_agreement(LIMIT) < LIMIT
         site.run(schedule.read(text, SIZE), 14.0)
-        assert site.until_agreed(LIMIT) < LIMIT
+        assert site.wait_for_agreement(LIMIT) < LIMIT
         assert faults(record(site)) == []
 
 
 def test_a_loss_in_the_middle_of_a_cut(seed: int) -> None:
     text = "3 cut 4 5\n6 kill 0 1 2 3 4 5\n6.5 start 0 1 2 3 4 5\n10 heal"
     with OverloadedSite(SIZE, store=True, seed=seed) as site:
-        assert site.until_agreed(LIMIT) < LIMIT
+        assert site.wait_for_agreement(LIMIT) < LIMIT
         site.run(schedule.read(text, SIZE), 15.0)
-        assert site.until_agreed(LIMIT) < LIMIT
+        assert site.wait_for_agreement(LIMIT) < LIMIT
         assert faults(record(site)) == []
 
 
@@ -162,7 +162,7 @@
         ingress = Ingress(conf)
         try:
             ingress.address()
-            ingress.logged("store: lock: Not a directory; the ingress goes on without")
+            ingress.wait_for_log("store: lock: Not a directory; the ingress goes on without")
             assert metric(ingress, "recovery.stage") == "normal"
         finally:
             ingress.end()
@@ -174,7 +174,7 @@
     served = {}
     for store in (True, False):
         with Site(SIZE, boxes=3, store=store, streams=True, seed=seed) as site:
-            assert site.until_agreed(LIMIT) < LIMIT
+            assert site.wait_for_agreement(LIMIT) < LIMIT
             begun = site.now()
             site.run(schedule.read(f"4 kill {everybody}\n4 list-cut {everybody}", SIZE), 4.5)
             site.do(Step(site.now(), "start", tuple(range(SIZE))))
@@ -183,11 +183,15 @@
             healed = site.now()
             site.do(Step(healed, "box-heal"))
             site.run([], 4.0)
-            assert site.until_agreed(LIMIT) < LIMIT
+            assert site.wait_for_agreement(LIMIT) < LIMIT
             table = record(site)
             assert faults(table) == []
             log_lines = [
-                line for _, at, one in site.lives if at > begun for line in one.log if "next hops" in line
+                line
+                for _, at, one in site.process_runs
+                if at > begun
+                for line in one.log
+                if "next hops" in line
             ]
         ends = table.filter((pl.col("what") == "asked") & (pl.col("end") == "served"))
         served[store] = ends.filter(pl.col("t").is_between(started, healed)).height
@@ -204,13 +208,13 @@
         _, most = resource.prlimit(
             ingress.process.pid, resource.RLIMIT_FSIZE, (least, resource.RLIM_INFINITY)
         )
-        ingress.logged("store: records: File too large; the ingress goes on without")
+        ingress.wait_for_log("store: records: File too large; the ingress goes on without")
         assert call(ingress, "POST", "/api/exclude/s-0") == "yes\n"
         with socket.create_connection(site.addresses[0], LIMIT) as caller:
             caller.sendall(b"*1\r\n$4\r\nPING\r\n")
             assert caller.recv(100) == b"+PONG\r\n"
         resource.prlimit(ingress.process.pid, resource.RLIMIT_FSIZE, (most, most))
-        ingress.logged("store: written again")
+        ingress.wait_for_log("store: written again")
         until(lambda: b'"word","s-0",[true' in path.read_bytes())
         site.kill(0)
         site.start(0)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -111,7 +111,7 @@
             running.logged("reload: done")
         arrived: set[str] = set()
         for box in boxes:
-            box.arrived = arrived
+            box.received_ids = arrived
 
         def prepare(at: float, number: int) -> None:
             if number == signal.SIGHUP and restart.rewritten is not None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -11,14 +11,14 @@
 from lab.shutdown import kill_time
 from lab.soak.checks import (
     ANSWER_SLACK_SECONDS,
+    DISCONNECT_SLACK_SECONDS,
+    DISCOVERY_RECOVERY_SECONDS,
     DRAIN_GRACE_SECONDS,
-    LEFT_SLACK_SECONDS,
     READY_SECONDS,
-    TOLD_AT_LATEST_SECONDS,
-    TOLD_SLACK_SECONDS,
-    broken,
+    REPORTED_TIME_SLACK_SECONDS,
+    rule_violations,
 )
-from lab.soak.plan import HOLD_UP_SECONDS, Run, Signal, draw
+from lab.soak.plan import MAX_PAUSE_SECONDS, Run, Signal, draw
 from lab.soak.record import Row, table
 from standflow.shutdown_schedule import schedule_for
 
@@ -63,7 +63,7 @@
 
 
 def faults(*rows: Row, run: Run = RUN) -> list[str]:
-    return broken(run, table(list(rows)))
+    return rule_violations(run, table(list(rows)))
 
 
 def test_the_same_seed_draws_the_same_run_and_another_another() -> None:
@@ -79,8 +79,8 @@
     assert sum(run.crowd for run in runs) == pytest.approx(len(runs) / 3, abs=1)
     assert min(run.longest_deadline for run in runs) == 0.3
     assert max(run.longest_deadline for run in runs) == 5.0
-    lives = [(run, life) for run in runs for of in run.lives for life in of]
-    for run, one in lives:
+    process_runs = [(run, life) for run in runs for of in run.process_runs for life in of]
+    for run, one in process_runs:
         end = kill_time(one.counted_deadline(run.longest_deadline))
         sends = [send.at for client in one.clients for send in client.sends]
         assert max(sends) <= end
@@ -88,18 +88,18 @@
         assert sum(signal.signal is Signal.HOLD for signal in one.signals) <= 1
         reloads = [signal.at for signal in one.signals if signal.signal is Signal.RELOAD]
         assert all(later - sooner > 0.2 for sooner, later in pairwise(reloads))
-    assert HOLD_UP_SECONDS == 0.15
-    assert {signal.signal for _, one in lives for signal in one.signals} == set(Signal)
+    assert MAX_PAUSE_SECONDS == 0.15
+    assert {signal.signal for _, one in process_runs for signal in one.signals} == set(Signal)
 
 
 def test_in_a_quarter_of_the_seeds_something_is_owed_at_the_last_moment() -> None:
     # An end that comes too late was not noticed where all connections had drained long before.
     runs = [draw(seed) for seed in range(200)]
-    assert sum(run.owed_at_the_end for run in runs) == len(runs) / 4
+    assert sum(run.pending_at_kill for run in runs) == len(runs) / 4
     for run in runs:
-        for life in (life for of in run.lives for life in of):
-            waiting = [client for client in life.clients if client.stays]
-            assert bool(waiting) == run.owed_at_the_end
+        for life in (life for of in run.process_runs for life in of):
+            waiting = [client for client in life.clients if client.open_until_kill]
+            assert bool(waiting) == run.pending_at_kill
             plan = schedule_for(life.counted_deadline(run.longest_deadline))
             for client in waiting:
                 first, last = (send.at for send in client.sends)
@@ -161,15 +161,15 @@
 
 def test_an_attempt_after_its_client_has_left_is_found() -> None:
     rows = [life(), connection(end="left", until=2.0), asked("a", 1.0, None)]
-    assert faults(*rows, came("a", 2.0 + LEFT_SLACK_SECONDS - 0.01, told=0.5)) == []
-    assert len(faults(*rows, came("a", 2.0 + LEFT_SLACK_SECONDS + 0.01, told=0.5))) == 1
+    assert faults(*rows, came("a", 2.0 + DISCONNECT_SLACK_SECONDS - 0.01, told=0.5)) == []
+    assert len(faults(*rows, came("a", 2.0 + DISCONNECT_SLACK_SECONDS + 0.01, told=0.5))) == 1
 
 
 def test_a_backend_that_is_told_more_than_is_left_is_found() -> None:
     left = PATIENCE - 0.5
     rows = [life(), connection(), asked("a", 1.0, 0.6)]
-    assert faults(*rows, came("a", 1.5, told=left + TOLD_SLACK_SECONDS - 0.01)) == []
-    assert len(faults(*rows, came("a", 1.5, told=left + TOLD_SLACK_SECONDS + 0.01))) == 1
+    assert faults(*rows, came("a", 1.5, told=left + REPORTED_TIME_SLACK_SECONDS - 0.01)) == []
+    assert len(faults(*rows, came("a", 1.5, told=left + REPORTED_TIME_SLACK_SECONDS + 0.01))) == 1
 
 
 def test_a_hold_up_by_the_soak_beyond_the_terms_is_no_fault_of_the_ingress_and_one_within_them_is() -> None:
@@ -192,7 +192,7 @@
     [
         (None, 2.0),
         (Row(what="silence", t=1.5, until=3.0, member=0, detail="silent"), 3.0),
-        (Row(what="silence", t=1.5, until=3.0, member=0, detail="refused"), 3.0 + TOLD_AT_LATEST_SECONDS),
+        (Row(what="silence", t=1.5, until=3.0, member=0, detail="refused"), 3.0 + DISCOVERY_RECOVERY_SECONDS),
         (Row(what="silence", t=1.5, until=3.0, member=1, detail="silent"), 2.0),
     ],
 )
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -140,15 +140,15 @@
         version = "TLSv1.3" if newest is V13 else "TLSv1.2"
         assert "end nexthop tt-07 close_idle served=2 age=0.0" in tls_rig.recorder.log[-1]
         assert f" {version} resumed=0 handshake=" in tls_rig.recorder.log[-1]
-        assert box.ran() == {"id1": 1, "id2": 1}
+        assert box.run_counts() == {"id1": 1, "id2": 1}
         assert box.counts.connections == 1
 
 
 BAD_CERTIFICATES = {
     "wrong_name": AUTHORITY.issue("tt-08.room-b.example.org"),
     "unknown_issuer": STRANGER.issue(NAME),
-    "expired": AUTHORITY.issue(NAME, ends=-60.0),
-    "not_yet_valid": AUTHORITY.issue(NAME, begins=3600.0),
+    "expired": AUTHORITY.issue(NAME, valid_until=-60.0),
+    "not_yet_valid": AUTHORITY.issue(NAME, valid_from=3600.0),
 }
 
 
@@ -162,7 +162,12 @@
         (Mode(reset_accepts=True), CERT, {}, "cut_off"),
         (Mode(), CERT, {"name_rules": ()}, "no_name"),
         (Mode(), AUTHORITY.issue("*.example.org"), {}, "wrong_name"),  # one label, not two
-        (Mode(), AUTHORITY.issue_odd("tt-*.room-b.example.org"), {}, "wrong_name"),  # no part of a label
+        (
+            Mode(),
+            AUTHORITY.issue_nonstandard("tt-*.room-b.example.org"),
+            {},
+            "wrong_name",
+        ),  # no part of a label
     ],
 )
 def test_backend_that_fails_verification_gets_no_byte_of_a_request(
@@ -174,14 +179,14 @@
         # a reset may be seen before the connection is reported as established
         early = ["connect_failed:ECONNRESET"] if mode.reset_accepts else [reason]
         assert tls_rig.ends() in ([reason], early)
-        assert not box.ran()
+        assert not box.run_counts()
 
 
 def test_wildcard_matches_the_leftmost_label_and_cn_is_ignored(tmp_path: Path) -> None:
     with Box(server_context(AUTHORITY.issue("*.room-b.example.org"))) as box:
         with rig(box.address, options(tmp_path)) as tls_rig:
             assert tls_rig.ask() is Outcome.OK
-        box.forget_sessions(server_context(AUTHORITY.issue_odd(None, common_name=NAME)))
+        box.forget_sessions(server_context(AUTHORITY.issue_nonstandard(None, common_name=NAME)))
         with rig(box.address, options(tmp_path)) as tls_rig:
             assert tls_rig.ask() is Outcome.CONNECT_FAILED
             assert tls_rig.ends() == ["wrong_name"]
@@ -210,7 +215,7 @@
         with rig(box.address, options(tmp_path, certificate=str(chain), key=str(key))) as tls_rig:
             assert tls_rig.ask() is Outcome.CONNECT_FAILED
             assert tls_rig.ends() == ["alert:48"]
-        assert box.ran() == {"id1": 1}
+        assert box.run_counts() == {"id1": 1}
 
 
 @pytest.mark.parametrize(("newest", "reason"), [(V12, "alert:40"), (V13, "alert:116")])
@@ -221,7 +226,7 @@
         with rig(box.address, options(tmp_path)) as tls_rig:
             assert tls_rig.ask() is Outcome.CONNECT_FAILED
             assert tls_rig.ends() == [reason]
-        assert not box.ran()
+        assert not box.run_counts()
 
 
 @pytest.mark.parametrize(
@@ -241,7 +246,7 @@
         assert tls_rig.ask() is outcome
         if reason is not None:
             tls_rig.ended(reason)
-        assert box.ran() == {"id1": 1}
+        assert box.run_counts() == {"id1": 1}
 
 
 def test_corrupted_record_is_a_reset(tmp_path: Path) -> None:
@@ -251,9 +256,9 @@
         wire = Wire(listener.accept()[0], server_context(CERT))
         wire.handshake()
         wire.read()
-        data = bytearray(wire.cipher(b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"))
+        data = bytearray(wire.encrypt(b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"))
         data[-3] ^= 1
-        wire.put(bytes(data))
+        wire.write_raw(bytes(data))
         wire.sock.recv(100)
         wire.sock.close()
 
@@ -276,11 +281,11 @@
                 outcome = tls_rig.ask()
                 tls_rig.drop()
             assert relay.ended.acquire(timeout=LIMIT)
-            return outcome, box.ran()[f"id{tls_rig.serial}"], tls_rig.ends()[0]
+            return outcome, box.run_counts()[f"id{tls_rig.serial}"], tls_rig.ends()[0]
 
         serials = iter(range(10**6))
         assert exchange(None, None)[:2] == (Outcome.OK, 1)
-        up, down = relay.carried[0]
+        up, down = relay.bytes_forwarded[0]
         seen: set[tuple[str, Outcome, int]] = set()
         for way, most in (("up", up), ("down", down)):
             for byte in range(most + 1):
@@ -412,11 +417,11 @@
         for serial in range(4):
             assert b"id%d" % (serial + 1) in hop.command(tls_rig, branch)  # also with the updated keys
             before = writer.update(requested) if serial % 2 else b""
-            hop.wire.put(before + writer.record(DATA, VALUE[:4]) + writer.update(requested))
-            hop.wire.put(writer.record(DATA, VALUE[4:]) + writer.update(requested))
+            hop.wire.write_raw(before + writer.record(DATA, VALUE[:4]) + writer.update(requested))
+            hop.wire.write_raw(writer.record(DATA, VALUE[4:]) + writer.update(requested))
             run_until(tls_rig.recorder.loop, lambda branch=branch: branch.outcome is not None)  # type: ignore[misc]
             assert branch.outcome is Outcome.OK
-            hop.wire.put(writer.update(requested))  # unread when the next command is written
+            hop.wire.write_raw(writer.update(requested))  # unread when the next command is written
             branch = tls_rig.send()
         assert not tls_rig.ends()
 
@@ -429,15 +434,15 @@
         hop.command(tls_rig, first)
         ticket = b"\0\0\x0e\x10" + b"\1\2\3\4" + b"\1n" + b"\0\5token" + b"\0\0"
         message = b"\4" + len(ticket).to_bytes(3) + ticket
-        hop.wire.put(writer.record(DATA, VALUE[:9]) + writer.record(HANDSHAKE, message))
+        hop.wire.write_raw(writer.record(DATA, VALUE[:9]) + writer.record(HANDSHAKE, message))
         run_until(tls_rig.recorder.loop, lambda: tls_rig.streams.sessions.count("tt-07") == 1)
         assert first.outcome is None
-        hop.wire.put(writer.record(DATA, VALUE[9:]))
+        hop.wire.write_raw(writer.record(DATA, VALUE[9:]))
         run_until(tls_rig.recorder.loop, lambda: first.outcome is not None)
-        hop.wire.put(writer.record(HANDSHAKE, message))
+        hop.wire.write_raw(writer.record(HANDSHAKE, message))
         second = tls_rig.send()
         hop.command(tls_rig, second)
-        hop.wire.put(writer.record(DATA, VALUE))
+        hop.wire.write_raw(writer.record(DATA, VALUE))
         run_until(tls_rig.recorder.loop, lambda: second.outcome is not None)
         assert [first.outcome, second.outcome] == [Outcome.OK, Outcome.OK]
         assert tls_rig.ends() == []
@@ -494,7 +499,7 @@
             # the connection has ended, but the loop has not seen it yet
             run_until(tls_rig.recorder.loop, lambda box=box: box.counts.open == 0)  # type: ignore[misc]
             assert tls_rig.ask() is Outcome.OK
-            assert box.ran() == {"id1": 1, "id2": 1}
+            assert box.run_counts() == {"id1": 1, "id2": 1}
 
 
 # Sessions.
@@ -591,7 +596,7 @@
 
 def test_material_is_loaded_with_its_expiry(tmp_path: Path) -> None:
     using = replace(
-        own(tmp_path, AUTHORITY.issue("i.example.org", ends=5 * 86400.0)), warn_before=14 * 86400.0
+        own(tmp_path, AUTHORITY.issue("i.example.org", valid_until=5 * 86400.0)), warn_before=14 * 86400.0
     )
     made = material.load(using, 3)
     assert (made.generation, made.has_client_certificate) == (3, True)
@@ -648,8 +653,10 @@
     "ingress.key: the key is encrypted": _encrypted,
     "is not issued by the one behind it": _unchained,
     "the chain is not complete: the certificate of ": lambda folder: own(folder, authority=STRANGER),
-    "ingress.pem: certificate 1 (": lambda folder: own(folder, AUTHORITY.issue("a.example.org", ends=-5.0)),
-    "is not valid before": lambda folder: own(folder, AUTHORITY.issue("a.example.org", begins=3600.0)),
+    "ingress.pem: certificate 1 (": lambda folder: own(
+        folder, AUTHORITY.issue("a.example.org", valid_until=-5.0)
+    ),
+    "is not valid before": lambda folder: own(folder, AUTHORITY.issue("a.example.org", valid_from=3600.0)),
     "ingress.pem: no PEM file of certificates": lambda folder: _write(folder, "ingress.pem", b"no"),
     "ingress.key: no PEM file of a private key": lambda folder: _write(folder, "ingress.key", b"no"),
     "roots.pem: no PEM file of certificates": lambda folder: _write(folder, "roots.pem", b""),
--- a/tests/test_tls_program.py
+++ b/tests/test_tls_program.py
@@ -83,7 +83,7 @@
         client = program.call()
         client.sendall(command("aa01", "Q.DO", "change"))
         assert read_until(client, b"aa01\r\n") == b"$8\r\nran aa01\r\n"
-        assert box.ran() == {"aa01": 1}
+        assert box.run_counts() == {"aa01": 1}
         assert box.counts.connections == 1
         program.terminate()
         assert program.process.wait(LIMIT) == 0
@@ -98,7 +98,7 @@
         client = program.call()
         client.sendall(command("aa01", "Q.DO", "change"))
         assert read_until(client, b"\r\n").startswith(b"-BUSY ")
-        assert not box.ran()
+        assert not box.run_counts()
         box.forget_sessions(server_context(CERT))  # fixed: the next attempt after the pause succeeds
         program.logged("next hop tt-07 is ready and shown")
         client.sendall(command("aa02", "Q.DO", "change"))
@@ -152,4 +152,4 @@
         client.sendall(command("aa01", "Q.DO", "change"))
         assert read_until(client, b"\r\n") == b"-ERR failed\r\n"
         program.logged("end nexthop tt-07 alert:20")
-        assert box.ran() == {"aa01": 1}
+        assert box.run_counts() == {"aa01": 1}
