--- a/lab/accept.py
+++ b/lab/accept.py
@@ -1,4 +1,4 @@
-"""A listener on loopback whose connections are served on a thread each."""
+"""A loopback listener that serves each connection on its own thread."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 import threading
 from collections.abc import Callable
 
-RESET = b"\1\0\0\0\0\0\0\0"  # SO_LINGER with no time: a close resets
+RESET = b"\1\0\0\0\0\0\0\0"  # SO_LINGER with a zero timeout: close() sends RST
 
 
 class Acceptor:
-    """Hands each connection to `serve`, on a thread of its own, until it is closed."""
+    """Passes each accepted connection to `serve`, on its own thread, until the acceptor is closed."""
 
     def __init__(
         self, serve: Callable[[socket.socket], None], address: tuple[str, int] = ("127.0.0.1", 0)
@@ -22,7 +22,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def close(self) -> None:
-        """Accepts nothing more."""
+        """Closes the listener; accepted connections stay open."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
@@ -37,7 +37,7 @@
 
 
 def reset(sock: socket.socket) -> None:
-    """Ends a connection so that the other end sees a reset."""
+    """Aborts a connection: the peer sees a reset."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         sock.shutdown(socket.SHUT_RDWR)
--- a/lab/authority.py
+++ b/lab/authority.py
@@ -1,4 +1,4 @@
-"""Certificates made at run time: authorities, good certificates, and some that are bad in one way.
+"""Certificates generated at run time: authorities, valid certificates, and ones that are invalid in one way.
 
 python -m lab.authority FOLDER NAME...     # roots.pem, and NAME.pem and NAME.key for each name
 """
@@ -19,20 +19,20 @@
 
 
 class Authority:
-    """One authority and what it issues."""
+    """A certificate authority."""
 
     def __init__(self) -> None:
         self.ca = trustme.CA()
 
     @property
     def pem(self) -> bytes:
-        """Its own certificate, as a root."""
+        """The root certificate."""
         return self.ca.cert_pem.bytes()
 
     def issue(
         self, *names: str, valid_from: float = -3600.0, valid_until: float = 30 * 86400.0
     ) -> trustme.LeafCert:
-        """A certificate for DNS names, valid from and until so many seconds from now."""
+        """A certificate for DNS names; the validity bounds are seconds from now."""
         now = datetime.now(UTC)
         return self.ca.issue_cert(
             *names,
@@ -41,7 +41,7 @@
         )
 
     def issue_nonstandard(self, name: str | None, common_name: str = "") -> trustme.LeafCert:
-        """What no careful authority would sign: a name with an odd wildcard, or a common name alone."""
+        """A certificate that no careful authority signs: a malformed wildcard, or a common name alone."""
         good = self.issue("a.example.org")
         like = x509.load_pem_x509_certificate(good.cert_chain_pems[0].bytes())
         key = serialization.load_pem_private_key(self.ca.private_key_pem.bytes(), None)
@@ -69,14 +69,14 @@
         )
 
     def write(self, folder: Path, cert: trustme.LeafCert, name: str = "ingress") -> tuple[Path, Path]:
-        """A certificate with its chain and its key as files; the key is its owner's alone."""
+        """Writes the certificate chain and the key as files; only the owner can read the key."""
         chain, key = folder / f"{name}.pem", folder / f"{name}.key"
         chain.write_bytes(b"".join(blob.bytes() for blob in cert.cert_chain_pems))
         _write_key(key, cert.private_key_pem.bytes())
         return chain, key
 
     def write_roots(self, folder: Path, *others: Authority, name: str = "roots.pem") -> Path:
-        """Its certificate, and those of others, as a file of trusted roots."""
+        """Writes this root, and those of other authorities, as a file of trusted roots."""
         path = folder / name
         path.write_bytes(b"".join(one.pem for one in (self, *others)))
         return path
@@ -95,7 +95,7 @@
     tickets: int = 2,
     alpn: tuple[str, ...] = (),
 ) -> ssl.SSLContext:
-    """What a server handshakes with; every new one has lost all sessions of the one before."""
+    """A server's TLS context; a new one can't resume sessions of an earlier one."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version, context.maximum_version = ssl.TLSVersion.TLSv1_2, newest
     cert.configure_cert(context)
--- a/lab/record.py
+++ b/lab/record.py
@@ -1,6 +1,6 @@
-"""The server's writing half of TLS 1.3 by hand, for what OpenSSL's Python side can't be told to send.
+"""A hand-written server-side TLS 1.3 record writer, for records that Python's ssl module can't send.
 
-RFC 8446: records 5.2, nonces 5.3, key updates 4.6.3 and 7.2. The secret comes from a key log.
+RFC 8446: records 5.2, nonces 5.3, key updates 4.6.3 and 7.2. The traffic secret comes from a key log.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 
 ALERT, HANDSHAKE, DATA = 21, 22, 23
 KEY_UPDATE = 24
-SIZE = 48  # bytes of a secret with SHA-384
+SIZE = 48  # bytes of a traffic secret with SHA-384
 
 
 def expand_label(secret: bytes, label: bytes, length: int) -> bytes:
-    """HKDF-Expand-Label with no context (7.1)."""
+    """HKDF-Expand-Label with an empty context (RFC 8446, 7.1)."""
     name = b"tls13 " + label
     info = struct.pack(">HB", length, len(name)) + name + b"\0"
     return HKDFExpand(SHA384(), length, info).derive(secret)
 
 
 class RecordWriter:
-    """Encrypts records of TLS_AES_256_GCM_SHA384, from the first one after the handshake on."""
+    """Encrypts records of TLS_AES_256_GCM_SHA384, starting with the first after the handshake."""
 
     def __init__(self, secret: bytes) -> None:
-        """`secret`: SERVER_TRAFFIC_SECRET_0, 48 bytes; nothing may have been sent under it yet."""
+        """`secret`: SERVER_TRAFFIC_SECRET_0, 48 bytes; no record may have been sent with it yet."""
         self._use(secret)
 
     @classmethod
     def of(cls, key_log: Path) -> RecordWriter:
-        """From the last handshake in a key log."""
+        """A writer for the last handshake in a key log."""
         found = [
             line.split() for line in key_log.read_text().splitlines() if "SERVER_TRAFFIC_SECRET_0" in line
         ]
@@ -44,7 +44,7 @@
         self.key, self.iv = AESGCM(expand_label(secret, b"key", 32)), expand_label(secret, b"iv", 12)
 
     def record(self, kind: int, data: bytes) -> bytes:
-        """One record on the wire."""
+        """Encrypts one record; `kind` is its content type."""
         inner = data + bytes([kind])
         head = struct.pack(">BHH", DATA, 0x0303, len(inner) + 16)
         nonce = (int.from_bytes(self.iv) ^ self.serial).to_bytes(12)
@@ -52,7 +52,7 @@
         return head + self.key.encrypt(nonce, inner, head)
 
     def update(self, requested: bool) -> bytes:
-        """A key update on the wire; what follows has the next key. `requested`: the other end owes one."""
+        """A KeyUpdate record; later records use the next key. `requested`: asks the peer to update too."""
         sent = self.record(HANDSHAKE, struct.pack(">BBHB", KEY_UPDATE, 0, 1, requested))
         self._use(expand_label(self.secret, b"traffic upd", SIZE))
         return sent
--- a/lab/relay.py
+++ b/lab/relay.py
@@ -1,4 +1,4 @@
-"""A relay between two loopback sockets that cuts the traffic at a byte, in either direction."""
+"""A loopback TCP relay that resets a connection after a given number of bytes in either direction."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Relay:
-    """Passes each connection on to `to`, until a direction has carried so many bytes; then both ends reset.
+    """Forwards each connection to `to` and resets both ends once a direction reaches its byte limit.
 
-    `up` counts bytes towards `to`, `down` bytes back; None never cuts. `carried` says how many bytes each
-    connection carried. Settings hold for the connections accepted after they were made.
+    `up` limits bytes towards `to`, `down` bytes back; None is no limit. `bytes_forwarded` counts per
+    connection. A changed limit applies to connections accepted afterwards.
     """
 
     def __init__(self, to: tuple[str, int]) -> None:
--- a/lab/shutdown.py
+++ b/lab/shutdown.py
@@ -1,8 +1,8 @@
-"""A planned restart as the platform does it: SIGTERM, clients that go on sending, SIGKILL when it may come.
+"""A planned restart as the platform performs it: SIGTERM, clients that keep sending, then SIGKILL.
 
-The clients' side of one ingress is recorded: what was sent when, counted from SIGTERM, and what came back
-until the process was killed. A request is lost if it has no whole answer, unless its connection had been
-ended in order when it was sent (then its client sends it once more elsewhere) and no backend got it.
+Records the client side of one ingress: when each request was sent, relative to SIGTERM, and what was received
+until the process was killed. A request is lost if it has no complete answer, unless its connection had been
+closed in order by the time it was sent (its client then retries elsewhere) and no backend received it.
 """
 
 from __future__ import annotations
@@ -21,23 +21,21 @@
 
 from lab.callers import command
 
-MAX_COUNTED_DEADLINE_SECONDS = (
-    3.0  # seconds that a longest deadline counts as at most (protocol page, planned restarts)
-)
-KILL_DELAY_SECONDS = 0.7  # seconds beyond it after which SIGKILL may come, from SIGTERM
-IN_FLIGHT_SECONDS = 0.02  # seconds before a connection's end in which what was sent has crossed it
-READ_AFTER_KILL_SECONDS = 0.3  # seconds in which what was written before SIGKILL is read
+MAX_COUNTED_DEADLINE_SECONDS = 3.0  # cap on the longest deadline (protocol page, planned restarts)
+KILL_DELAY_SECONDS = 0.7  # from SIGTERM, on top of the capped deadline
+IN_FLIGHT_SECONDS = 0.02  # sent this long before a close, a request may cross the close on the wire
+READ_AFTER_KILL_SECONDS = 0.3  # drains what the process wrote before SIGKILL
 
 
 def kill_time(longest_deadline: float) -> float:
-    """Seconds from SIGTERM to the earliest SIGKILL, for a deployment's longest deadline in seconds."""
+    """Seconds from SIGTERM to the earliest SIGKILL, given the deployment's longest deadline in seconds."""
     return min(longest_deadline, MAX_COUNTED_DEADLINE_SECONDS) + KILL_DELAY_SECONDS
 
 
 def run_queue_wait_seconds(pid: int) -> float:
-    """How long a process has been ready to run and had no processor; 0 where the kernel does not count it.
+    """Seconds that a process was runnable without a CPU; 0 where the kernel does not count it.
 
-    SIGKILL is put off by that, so that no verdict depends on what else the machine does.
+    SIGKILL is delayed by this, so that the result does not depend on other load on the machine.
     """
     try:
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
@@ -47,17 +45,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """A request to be sent, `at` seconds from SIGTERM. `patience`: seconds; None as for all others."""
+    """A request to send `at` seconds from SIGTERM. `timeout`: seconds; None for the default of the run."""
 
     at: float
     safe: bool
-    tenant: int | None = None  # None: one of its own
+    tenant: int | None = None  # None: a new tenant for this request
     timeout: float | None = None
 
 
 @dataclass(slots=True)
 class Sent:
-    """One request; times in seconds from SIGTERM."""
+    """A request that was sent; times in seconds from SIGTERM."""
 
     ident: str
     safe: bool
@@ -70,9 +68,9 @@
 
 @dataclass(slots=True, eq=False)
 class Client:
-    """One connection and the requests on it, in their order. `leaves_at`: it closes, whatever is open.
+    """One connection and its requests, in order. `disconnects_at`: closes then, even with requests open.
 
-    `stays`: it is not closed when the ingress ends it, but kept until SIGKILL.
+    `open_until_kill`: after the ingress closes the connection, the client keeps its side open until SIGKILL.
     """
 
     sends: list[Send]
@@ -89,13 +87,13 @@
 
 @dataclass(slots=True)
 class Shutdown:
-    """What came of one planned restart."""
+    """The result of one planned restart."""
 
     sent: list[Sent]
     lost: list[Sent]
-    reset: int  # connections that ended with a reset before SIGKILL
-    ended_at: float | None  # when the process ended by itself, seconds from SIGTERM; None: it was killed
-    terminated: float = 0.0  # when SIGTERM was sent, of the monotonic clock
+    reset: int  # connections reset before SIGKILL
+    ended_at: float | None  # when the process exited by itself, seconds from SIGTERM; None: it was killed
+    terminated: float = 0.0  # when SIGTERM was sent, monotonic clock
     killed_at: float = 0.0  # when SIGKILL was sent, seconds from SIGTERM
 
 
@@ -112,12 +110,12 @@
     spread: int = 1,
     prepare: Callable[[float, int], None] = lambda at, number: None,
 ) -> Shutdown:
-    """Plays the clients against an ingress that gets SIGTERM at second 0 and SIGKILL when it may come.
+    """Runs the clients against an ingress that gets SIGTERM at second 0 and SIGKILL at the earliest time.
 
-    `wait`: seconds that each client says it waits; `arrived`: filled by backends with the ids they got;
-    `signals`: further ones, by their time; `prepare` is called before each. `put_off`: SIGKILL waits for as
-    long as the process was starved. `first_serial`: ids of requests follow it;
-    `spread`: ingresses of each tenant.
+    `wait`: timeout in seconds that clients send by default; `arrived`: filled by backends with the request
+    ids they received; `signals`: additional ones, as (time, number); `prepare` is called before each.
+    `extend_by_starvation`: delays SIGKILL by the time that the process waited for a CPU. `first_serial`:
+    request ids count up from it; `spread`: ingresses per tenant.
     """
     play = _Play(address, clients, wait, first_serial, spread)
     begin = min([client.connects_at for client in clients] + [0.0])
@@ -132,7 +130,10 @@
             at, number = due.pop(0)
             prepare(at, number)
             process.send_signal(number)
-            if number == signal.SIGCONT or at == 0.0:  # told later, or held up longer, than was meant
+            if (
+                number == signal.SIGCONT or at == 0.0
+                # The signal was sent late, or the process was stopped for longer than planned.
+            ):
                 kill_at += play.now() - at
             if at == 0.0:
                 terminated = play.now() + play.zero
@@ -159,7 +160,7 @@
 
 
 class _Play:
-    """All clients in one thread."""
+    """Event loop that runs all clients on one thread."""
 
     def __init__(
         self, address: tuple[str, int], clients: list[Client], wait: float, first_serial: int, spread: int
@@ -168,9 +169,9 @@
         self.zero = 0.0
         self.serial = first_serial
         self.selector = selectors.DefaultSelector()
-        self.kept: list[socket.socket] = []  # ended by the ingress, of clients that stay
+        self.kept: list[socket.socket] = []  # closed by the ingress, of clients with open_until_kill
         self.due: list[tuple[float, int, Callable[[], None]]] = []  # a heap
-        self.order = itertools.count()  # of what is due at one moment
+        self.order = itertools.count()  # tie-breaker for equal times
         for client in clients:
             self._plan(client)
 
@@ -178,14 +179,14 @@
         return time.monotonic() - self.zero
 
     def step(self, pause: float) -> None:
-        """Connects, sends and leaves as is due, and reads what has come."""
+        """Performs the actions that are due, then reads what was received."""
         while self.due and self.due[0][0] <= self.now():
             _, _, act = heapq.heappop(self.due)
             act()
         self.read(pause)
 
     def _plan(self, client: Client) -> None:
-        """All that a client will do, by its time; nobody is looked at before that."""
+        """Schedules all actions of a client, so that idle clients cost nothing per step."""
         self._plan_at(client.connects_at, lambda: self._connect(client))
         for send in client.sends:
             self._plan_at(max(send.at, client.connects_at), lambda send=send: self._send(client, send))  # type: ignore[misc]
@@ -211,7 +212,7 @@
         self.selector.register(client.sock, selectors.EVENT_READ, client)
 
     def _send(self, client: Client, send: Send) -> None:
-        self.read(0.0)  # what has been closed is known first
+        self.read(0.0)  # notices a close before sending on the connection
         if client.sock is None:
             return
         self.serial += 1
@@ -226,11 +227,11 @@
         except OSError:
             self._ended(client, "reset")
             return
-        at = self.now()  # a request's time counts from its last byte
+        at = self.now()  # a request's deadline counts from its last byte
         client.sent.append(Sent(ident, safe, at, tenant, timeout))
 
     def read(self, pause: float) -> None:
-        """Reads what has come, waiting so many seconds for it."""
+        """Reads what was received, waiting up to `pause` seconds."""
         for key, _ in self.selector.select(pause):
             client: Client = key.data
             assert client.sock is not None
@@ -248,7 +249,7 @@
             self._answers(client)
 
     def _answers(self, client: Client) -> None:
-        """Takes whole answers off what has come: lines, and bulk strings."""
+        """Takes complete answers off the buffer: lines and bulk strings."""
         for sent in client.sent:
             if sent.answered_at is not None:
                 continue
--- a/lab/wire.py
+++ b/lab/wire.py
@@ -1,4 +1,4 @@
-"""The server's end of a connection, plain or in TLS, with every byte that leaves it in hand."""
+"""The server's end of a connection, plaintext or TLS, with control over every byte that it sends."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class CutError(ConnectionError):
-    """The connection was cut here, as it was told."""
+    """The connection was cut at `cut_after`, as configured."""
 
 
 class Wire:
-    """A blocking connection of a stand-in. In TLS its bytes pass through memory, so that they can be cut,
-    split, held back or spoilt. `cut_after` counts bytes written on the wire, over the whole connection.
+    """A blocking connection of a test server. TLS runs over memory buffers, so that its output can be cut,
+    split, withheld or corrupted. `cut_after` counts bytes written to the socket over the whole connection.
     """
 
     def __init__(self, sock: socket.socket, context: ssl.SSLContext | None, limit: float = 20.0) -> None:
         self.sock, self.written = sock, 0
         self.cut_after: int | None = None
-        self.split: int | None = None  # bytes of the wire per write
-        self.cpu = 0.0  # processor seconds of the handshake
+        self.split: int | None = None  # bytes per write to the socket
+        self.cpu = 0.0  # CPU seconds of the handshake
         sock.settimeout(limit)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.raw_in, self.raw_out = ssl.MemoryBIO(), ssl.MemoryBIO()
@@ -30,7 +30,7 @@
             self.tls = context.wrap_bio(self.raw_in, self.raw_out, server_side=True)
 
     def write_raw(self, data: bytes) -> None:
-        """Bytes on the wire, as they are."""
+        """Sends bytes as they are, up to `cut_after`."""
         if self.cut_after is not None and self.written + len(data) > self.cut_after:
             rest = max(0, self.cut_after - self.written)
             self._send(data[:rest])
@@ -42,13 +42,13 @@
         for at in range(0, len(data), step):
             self.sock.sendall(data[at : at + step])
             if self.split:
-                time.sleep(0.0002)  # lets the other end read them one by one
+                time.sleep(0.0002)  # lets the peer read each piece separately
         self.written += len(data)
 
     def handshake(self, stall_at: int | None = None) -> bool:
-        """The handshake, with its processor time; true where a session was taken up again.
+        """Performs the handshake and measures its CPU time; true if a session was resumed.
 
-        `stall_at`: the flight, counted from 0, that is never sent; then it returns false.
+        `stall_at`: the flight, counted from 0, that is never sent; returns false when it is reached.
         """
         assert self.tls is not None
         flight = 0
@@ -61,7 +61,7 @@
             except ssl.SSLError:
                 self.cpu += time.thread_time() - began
                 with contextlib.suppress(OSError):
-                    self.write_raw(self.raw_out.read())  # its alert
+                    self.write_raw(self.raw_out.read())  # the alert
                 raise
             else:
                 done = True
@@ -82,7 +82,7 @@
         self.raw_in.write(data)
 
     def read(self) -> bytes:
-        """What comes; empty at the end."""
+        """Decrypted data; empty at the end of the stream."""
         if self.tls is None:
             return self.sock.recv(65536)
         while True:
@@ -99,18 +99,18 @@
                 return b""
 
     def encrypt(self, data: bytes) -> bytes:
-        """What a message is on the wire."""
+        """Encrypts a message without sending it; returned unchanged on a plaintext connection."""
         if self.tls is None:
             return data
         self.tls.write(data)
         return self.raw_out.read()
 
     def write(self, data: bytes) -> None:
-        """A message."""
+        """Encrypts and sends a message."""
         self.write_raw(self.encrypt(data))
 
     def alert(self) -> bytes:
-        """A fatal alert on the wire: OpenSSL's answer to a record that can't be read."""
+        """An encrypted fatal alert, as OpenSSL answers a record that it can't decrypt; not sent yet."""
         assert self.tls is not None
         self.raw_in.write(b"\x17\x03\x03\x00\x20" + bytes(32))
         with contextlib.suppress(ssl.SSLError):
@@ -118,7 +118,7 @@
         return self.raw_out.read()
 
     def send_close_notify(self) -> None:
-        """close_notify."""
+        """Sends close_notify."""
         if self.tls is not None:
             with contextlib.suppress(ssl.SSLError):
                 self.tls.unwrap()
@@ -126,7 +126,7 @@
                 self.write_raw(self.raw_out.read())
 
     def close(self, notify: bool = True) -> None:
-        """The end, with close_notify unless it is left out."""
+        """Closes the connection, by default after close_notify."""
         if notify:
             self.send_close_notify()
         self.sock.close()
