--- a/lab/box.py
+++ b/lab/box.py
@@ -1,10 +1,10 @@
-"""A box: a stand-in for a shared timetable server, as a process of its own or within a test.
+"""A box: a test backend in place of a shared timetable server, as its own process or inside a test.
 
-It speaks RESP2, plain or in TLS, counts what runs by id, and holds its handshakes and requests to what it can
-do at the moment: right after a start a part of its cores, rising evenly. It fails in the ways named in Mode.
+It speaks RESP2 in plaintext or TLS, counts executions by request id, and limits handshakes and requests to
+its current capacity: after a start a fraction of its cores, growing linearly. Mode lists its faults.
 
-    python -m lab.box                               # one JSON command a line in, one JSON answer out
-    python -m lab.box --listen HOST:PORT --certificate FILE       # serves until it is ended
+    python -m lab.box                               # one JSON command per input line, one JSON answer each
+    python -m lab.box --listen HOST:PORT --certificate FILE       # serves until it is killed
 """
 
 from __future__ import annotations
@@ -31,28 +31,28 @@
 from lab.wire import CutError, Wire
 
 NOTHING = b"$-1\r\n"
-TCP_INFO = struct.Struct("=8x12I")  # up to the milliseconds since data was received last
+TCP_INFO = struct.Struct("=8x12I")  # up to tcpi_last_data_recv, in milliseconds
 
 
 @dataclass
 class Mode:
-    """How a box behaves; the default is well."""
+    """Faults that a box injects; none by default."""
 
-    plain: bool = False  # answers a handshake with plain text
-    stall_at: int | None = None  # the flight of the handshake that is never sent
-    cut_after: int | None = None  # bytes on the wire after which a connection is cut
-    split: int | None = None  # bytes in each write
-    notify: bool = True  # close_notify at an end
-    answers: int | None = None  # answers on a connection until it ends
-    alert: bool = False  # a fatal alert in the middle of an answer
-    behind: bytes = b""  # more behind each answer
-    silent: bool = False  # takes requests and never answers
-    reset_accepts: bool = False  # ends connections at once
+    plain: bool = False  # answers a TLS handshake in plaintext
+    stall_at: int | None = None  # the handshake flight that is never sent
+    cut_after: int | None = None  # bytes sent after which a connection is cut
+    split: int | None = None  # bytes per write
+    notify: bool = True  # sends close_notify before a close
+    answers: int | None = None  # answers per connection before it is closed
+    alert: bool = False  # sends a fatal alert in the middle of an answer
+    behind: bytes = b""  # bytes appended to each answer
+    silent: bool = False  # reads requests and never answers
+    reset_accepts: bool = False  # resets connections on accept
 
 
 @dataclass
 class Event:
-    """Something that took the box's processor, at Unix time `at`: seconds of one core."""
+    """Work of the box at Unix time `at`; `cpu`: seconds of one core."""
 
     at: float
     what: str  # full, resumed, failed or request
@@ -61,8 +61,9 @@
 
 @dataclass
 class Arrival:
-    """A request that has come whole, at `at` seconds of the monotonic clock by the kernel, and was read at
-    `read_at`; `left`: seconds, as it says.
+    """A complete request: received by the kernel at `at` and read at `read_at`, both on the monotonic clock.
+
+    `left`: the remaining time in seconds that the request states.
     """
 
     at: float
@@ -74,7 +75,7 @@
 
 @dataclass
 class Counts:
-    """What a box has seen."""
+    """Counters and events of a box."""
 
     full: int = 0
     resumed: int = 0
@@ -82,13 +83,13 @@
     connections: int = 0
     open: int = 0
     runs: Counter[str] = field(default_factory=Counter)
-    changes: Counter[str] = field(default_factory=Counter)  # of them, what must never run twice
+    changes: Counter[str] = field(default_factory=Counter)  # of these, requests that must not run twice
     events: list[Event] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
 
 
 class Box:
-    """A server on a port of its own. `work`: processor seconds of a request; `cores` are shared by all."""
+    """A server on its own port. `work`: CPU seconds per request; `cores` are shared by all connections."""
 
     def __init__(
         self,
@@ -101,13 +102,13 @@
         cold_from: float = 0.15,
         cold_time: float = 17.0,
     ) -> None:
-        """`cores` 0: as fast as the machine. `delay`: seconds that a request waits without any work."""
+        """`cores` 0: no capacity limit. `delay`: seconds that a request waits without using CPU."""
         self.context, self.mode = context, mode or Mode()
         self.delay = delay
-        self.value = 0  # bytes of a value at least
-        self.hung_tenants: frozenset[int] = frozenset()  # their requests are taken and never answered
+        self.value = 0  # minimum size of a value, bytes
+        self.hung_tenants: frozenset[int] = frozenset()  # their requests are read and never answered
         self.work, self.cores, self.cold_from, self.cold_time = work, cores, cold_from, cold_time
-        self.started = 0.0  # Unix time; long ago
+        self.started = 0.0  # Unix time; 0: warm from the beginning
         self.counts = Counts()
         self.received_ids: set[str] = (
             set()
@@ -118,14 +119,17 @@
         self.acceptor = Acceptor(self._handle_connection, address)
         self.address = self.acceptor.address
 
-    # What a test or the control does to it.
+    # Operations for tests and the control interface.
 
     def forget_sessions(self, context: ssl.SSLContext) -> None:
-        """Another context knows none of the sessions made before; also a swap of the certificate."""
+        """Replaces the TLS context, which drops all sessions; also used to swap the certificate."""
         self.context = context
 
     def restart(self, context: ssl.SSLContext | None = None) -> None:
-        """Cold, with every connection reset and all sessions lost; the port stays."""
+        """Simulates a restart: cold capacity, all connections reset; the port stays the same.
+
+        TLS sessions are lost with a new `context`.
+        """
         if context is not None:
             self.context = context
         self.started = time.time()
@@ -139,7 +143,7 @@
             reset(wire.sock)
 
     def close(self) -> None:
-        """Ends it."""
+        """Closes the listener and resets every connection."""
         self.acceptor.close()
         self.cut_all()
 
@@ -150,21 +154,21 @@
         self.close()
 
     def run_counts(self) -> Counter[str]:
-        """How often each id ran."""
+        """Executions by request id."""
         with self.lock:
             return Counter(self.counts.runs)
 
-    # What it does.
+    # Serving.
 
     def capacity(self, at: float) -> float:
-        """Processor seconds a second at a Unix time."""
+        """CPU seconds per second at a Unix time."""
         age = at - self.started
         if age >= self.cold_time:
             return self.cores
         return self.cores * (self.cold_from + (1 - self.cold_from) * max(0.0, age) / self.cold_time)
 
     def _spend(self, what: str, cpu: float, done: float = 0.0) -> None:
-        """Holds the caller until the work has had its turn; `done` seconds of it passed on the real clock."""
+        """Blocks until the queued work is done; `done` seconds of it have already elapsed in real time."""
         now = time.time()
         with self.lock:
             self.counts.events.append(Event(now, what, cpu))
@@ -277,22 +281,22 @@
 
 
 def seconds_since_received(sock: socket.socket) -> float:
-    """Seconds since the kernel received data on a connection, however late this process reads it.
+    """Seconds since the kernel last received data on a connection, even if this process reads it late.
 
-    `tcpi_last_data_recv` of tcp_info (linux/tcp.h): the twelfth of the numbers behind eight bytes of flags.
+    `tcpi_last_data_recv` of tcp_info (linux/tcp.h): the twelfth 32-bit field after eight bytes of flags.
     """
     info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO.size)
     return float(TCP_INFO.unpack(info)[-1]) / 1000
 
 
 def _time_left(options: bytes) -> float:
-    """Seconds that a request says its ingress will wait; 0 where it says nothing."""
+    """Seconds that the ingress will still wait, from the request's options; 0 if not stated."""
     said = dict(option.partition(b"=")[::2] for option in options.split(b","))
     return int(said.get(b"d", b"0")) / 1000
 
 
 def command(data: bytes) -> tuple[list[bytes], int] | None:
-    """The first command in some bytes and its size, or None while it is not whole."""
+    """The first command in the buffer and its size, or None while it is incomplete."""
     lines = data.split(b"\r\n", 1)
     if len(lines) < 2:
         return None
@@ -311,10 +315,10 @@
 
 @click.command()
 @click.option("--listen", default="127.0.0.1:0", help="Address and port.")
-@click.option("--certificate", help="PEM file with certificate, chain and key: serve TLS until ended.")
-@click.option("--clients", help="PEM file of roots: callers must show a certificate.")
+@click.option("--certificate", help="PEM file with certificate, chain and key; serves TLS until killed.")
+@click.option("--clients", help="PEM file of trusted roots; callers must show a certificate.")
 def main(listen: str, certificate: str | None, clients: str | None) -> None:
-    """The box as a process: `start`, `mode`, `restart`, `forget`, `stats`, `cut`, `end` on standard input."""
+    """Run a box; commands on standard input: start, mode, set, restart, forget, stats, cut, end."""
     host, _, port = listen.rpartition(":")
     box = Box(address=(host, int(port)))
     print(json.dumps({"address": box.address}), flush=True)
@@ -330,7 +334,7 @@
 
 
 def control(box: Box, asked: dict[str, Any]) -> dict[str, Any]:
-    """Carries out one command of the control."""
+    """Executes one control command."""
     what = asked["do"]
     if what in ("start", "restart", "forget") and "certificate" in asked:
         context = load_context(asked["certificate"], asked.get("clients"))
@@ -367,7 +371,7 @@
 
 
 def load_context(certificate: str, clients: str | None) -> ssl.SSLContext:
-    """A server's context from files; the key lies in the same file as the certificate."""
+    """A server's TLS context from files; the certificate file also holds the key."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.load_cert_chain(Path(certificate))
     if clients is not None:
--- a/lab/callers.py
+++ b/lab/callers.py
@@ -1,6 +1,6 @@
-"""Callers: requests at a given rate over RESP2, each with its one answer noted.
+"""Load generator: callers that send RESP2 requests at a given rate and record each outcome.
 
-python -m lab.callers HOST:PORT CLASS PLAN     # one request, and its answer
+python -m lab.callers HOST:PORT CLASS PLAN     # sends one request and prints the answer
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request: Unix time, seconds to the answer, and served, refused, failed or lost."""
+    """One request. `at`: Unix time; `took`: seconds to the answer; `end`: served, refused, failed or lost."""
 
     at: float
     ident: str
@@ -33,11 +33,11 @@
 
 
 class ClosedWithoutReplyError(OSError):
-    """The connection was closed in order, with nothing of an answer."""
+    """The peer closed the connection in order before it sent any part of an answer."""
 
 
 class Callers:
-    """Callers of one ingress, each on a connection of its own, together at `rate` requests a second."""
+    """Callers of one ingress, one connection each, with `rate` requests a second in total."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         seed: int = 0,
         plan: str = "plain",
     ) -> None:
-        """`number`: the ingress's, with which its customers' sets begin; `changes`: the unsafe part."""
+        """`number`: of the ingress, the first in its tenants' sets; `changes`: share of unsafe requests."""
         self.address, self.rate, self.number, self.connections = address, rate, number, connections
         self.changes, self.spread, self.seed, self.plan = changes, spread, seed, plan
         self.asked: list[RequestRecord] = []
@@ -61,18 +61,18 @@
         ]
 
     def start(self) -> None:
-        """Begins to ask."""
+        """Starts sending."""
         for thread in self.threads:
             thread.start()
 
     def stop(self) -> None:
-        """Ends when what is open is answered."""
+        """Stops sending and waits for open requests."""
         self.stopped.set()
         for thread in self.threads:
             thread.join(20.0)
 
     def outcome_counts(self, since: float = 0.0) -> Counter[str]:
-        """How many ended in each way, of those asked since a Unix time."""
+        """Requests by outcome, of those sent since a Unix time."""
         return Counter(one.end for one in list(self.asked) if one.at >= since)
 
     def _ask(self, connection: int) -> None:
@@ -97,7 +97,7 @@
             again = False
             for _ in range(2):
                 if sock is not None and select.select([sock], [], [], 0)[0]:
-                    sock.close()  # it has been closed meanwhile, and nothing crosses that
+                    sock.close()  # closed while idle: reconnects before sending
                     sock = None
                 kept = sock is not None
                 try:
@@ -123,12 +123,12 @@
 
 
 def command(parts: list[bytes]) -> bytes:
-    """An array of bulk strings."""
+    """Encodes a command as an array of bulk strings."""
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
 
 
 def read(sock: socket.socket) -> bytes:
-    """One answer: a line, or a bulk string; OSError where it does not come whole."""
+    """Reads one answer, a line or a bulk string; raises OSError if it is incomplete."""
     data = b""
     while True:
         more = sock.recv(65536)
@@ -145,7 +145,7 @@
 
 
 def reply_outcome(answer: bytes) -> str:
-    """What an answer is to its caller."""
+    """Classifies an answer as served, refused, failed or lost."""
     if answer.startswith(b"$") and not answer.startswith(b"$-1"):
         return "served"
     if answer.startswith(b"-BUSY"):
@@ -157,9 +157,9 @@
 @click.argument("address")
 @click.argument("kind")
 @click.argument("plan")
-@click.option("--unsafe", is_flag=True, help="Q.DO, for a class that must not run twice.")
+@click.option("--unsafe", is_flag=True, help="Send Q.DO, for a class that must not run twice.")
 def main(address: str, kind: str, plan: str, unsafe: bool) -> None:
-    """Ask the ingress at ADDRESS once, for the class KIND under PLAN, and print the answer."""
+    """Send one request of class KIND under PLAN to the ingress at ADDRESS and print the answer."""
     host, _, port = address.rpartition(":")
     options = f"c={kind},t={plan},d=3000,units=1,spread=1,first=0".encode()
     ident = b"%016x" % random.getrandbits(64)
--- a/lab/counter.py
+++ b/lab/counter.py
@@ -1,8 +1,7 @@
-"""The quota counter: a stand-in that keeps numbers by name, and goes wrong on demand.
+"""A test quota counter that keeps totals by name and injects faults on demand.
 
-Names lie on parts. A part serves calls in turn, so many a second, and turns away what its line has no room
-for. Each listener is the way in from one room: parts can be cut off there alone, and it may lead to a store
-of its own.
+Names are hashed to parts. A part serves calls in order at a fixed rate and rejects them once its queue is
+full. Each listener is the entry point of one zone: it can cut off single parts and may have its own store.
 """
 
 from __future__ import annotations
@@ -24,36 +23,36 @@
 
 @dataclass
 class StoredTotal:
-    """A total that is forgotten at a time of the monotonic clock."""
+    """A total that expires at `until`, monotonic clock."""
 
     total: float
     until: float
 
 
 class Store:
-    """The numbers behind a counter, on parts."""
+    """The totals of a counter, split into parts."""
 
     def __init__(self, parts: int = 1, per_second: float = 800.0, line: float = 0.2) -> None:
-        """`line`: seconds' worth of calls that a part lets wait before it turns calls away."""
+        """`line`: queue length of a part, in seconds of work; a longer wait is rejected."""
         self.parts, self.per_second, self.line = parts, per_second, line
         self.lock = threading.Lock()
         self.numbers: dict[str, StoredTotal] = {}
         self.free_at = [0.0] * parts
         self.calls = 0
-        self.reads: Counter[str] = Counter()  # by name, calls that add nothing
+        self.reads: Counter[str] = Counter()  # by name, calls that add 0
         self.rejected = 0
 
     def part(self, name: str) -> int:
-        """Where a name lies."""
+        """The part that a name is hashed to."""
         return crc32(name.encode()) % self.parts
 
     def empty(self) -> None:
-        """What it knew is gone, as if another one had taken its place."""
+        """Drops all totals, as if the store had been replaced."""
         with self.lock:
             self.numbers.clear()
 
     def add(self, name: str, amount: float, life: float) -> tuple[float | None, float]:
-        """The total after a call, or None where it is turned away, and the seconds until its turn is over."""
+        """The total after a call, or None if it is rejected, and the seconds until the call is done."""
         now = time.monotonic()
         with self.lock:
             self.calls += 1
@@ -73,18 +72,18 @@
 
 @dataclass
 class ServerFaults:
-    """How the way in from one room is; the default is well."""
+    """Faults at the entry point of one zone; none by default."""
 
-    delay: float = 0.0  # seconds more until an answer leaves
-    cut: set[int] = field(default_factory=set)  # parts that nothing comes back from
-    drop_share: float = 0.0  # part of the answers that never come, though the amount was added
-    corrupt_share: float = 0.0  # part of the answers that hold no number; their connection says no more
-    refuse: bool = False  # connections end at once
+    delay: float = 0.0  # extra seconds before an answer is sent
+    cut: set[int] = field(default_factory=set)  # parts whose calls are never answered
+    drop_share: float = 0.0  # share of answers never sent, though the amount was added
+    corrupt_share: float = 0.0  # share of answers that hold no number
+    refuse: bool = False  # connections are reset on accept
     seed: int = 0
 
 
 class CounterServer:
-    """A counter's listener."""
+    """A listener of the counter, the entry point of one zone."""
 
     def __init__(
         self, store: Store, faults: ServerFaults | None = None, idle: float = 10.0, max_per_peer: int = 32
@@ -109,7 +108,7 @@
         self.close()
 
     def close(self) -> None:
-        """Accepts nothing more and ends what is open."""
+        """Closes the listener and resets open connections."""
         self.acceptor.close()
         with self.lock:
             connections = list(self.connections)
@@ -134,7 +133,7 @@
             sock.close()
 
     def _answer(self, sock: socket.socket) -> None:
-        """Reads calls and lets a second thread answer in order, so that calls behind one another count."""
+        """Reads calls; a second thread answers in order, so that pipelined calls are counted at once."""
         due: deque[tuple[float, bytes | None]] = deque()
         more = threading.Condition()
         writer = threading.Thread(target=self._write, args=(sock, due, more), daemon=True)
@@ -166,7 +165,7 @@
             if answer is None:
                 return
             time.sleep(max(0.0, at - time.monotonic()))
-            if not answer:  # lost, and with it all that comes after it on this connection
+            if not answer:  # dropped, with all later answers on this connection
                 return
             try:
                 sock.sendall(answer)
@@ -174,7 +173,7 @@
                 return
 
     def _call(self, head: bytes) -> tuple[float, bytes | None]:
-        """When an answer leaves, and what it is; empty: never."""
+        """When to send the answer, and the answer; empty: never sent."""
         faults, now = self.faults, time.monotonic()
         try:
             method, target, _ = head.split(b"\r\n", 1)[0].split(b" ")
@@ -200,5 +199,5 @@
 
 
 def reply(status: bytes, body: bytes) -> bytes:
-    """An answer on the wire."""
+    """Encodes an HTTP answer."""
     return b"HTTP/1.1 %b\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body)
--- a/lab/datagrams.py
+++ b/lab/datagrams.py
@@ -1,7 +1,7 @@
-"""The network between ingresses: datagrams pass from one to another, late, twice, or not at all, on demand.
+"""A UDP proxy between ingresses that delays, duplicates, garbles or drops datagrams on demand.
 
-Each ordered pair has an address of its own: where the first sees the second. A sender is known by its
-address, so what one sends to a peer leaves again from the address at which that peer sees the sender.
+Each ordered pair has its own address, at which the first member sees the second. Members identify a sender
+by its address, so a datagram is forwarded from the address at which its receiver sees the sender.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 
 
 class DatagramProxy:
-    """A relay for so many members, on a thread of its own. What it does to datagrams may change any time."""
+    """A proxy for `members` members, on its own thread. Its settings may be changed at any time."""
 
     def __init__(self, members: int, loss: float = 0.0, seed: int = 0) -> None:
         self.loss, self.rng = loss, random.Random(seed)
-        self.cut: set[int] = set()  # members that nothing comes from or reaches
-        self.blocked: set[tuple[int, int]] = set()  # from the first to the second nothing passes
-        self.delay = 0.0  # seconds in the mean; between none and twice that, so that some overtake others
-        self.again = 0.0  # the part that comes a second time, up to a second later
-        self.noise = 0.0  # the part that is garbled
+        self.cut: set[int] = set()  # members that neither send nor receive anything
+        self.blocked: set[tuple[int, int]] = set()  # datagrams from the first to the second are dropped
+        self.delay = 0.0  # mean seconds; uniform from 0 to twice that, so that datagrams are reordered
+        self.again = 0.0  # share duplicated; the copy arrives up to a second later
+        self.noise = 0.0  # share garbled
         self.passed = 0
         self.waiting: list[tuple[float, int, tuple[int, int], bytes]] = []
         self.real: dict[int, Address] = {}
         self.socks: dict[tuple[int, int], socket.socket] = {}
         self.selector = selectors.DefaultSelector()
-        # Members listen at a host of this fleet's own: a port there is free once its socket here is closed,
-        # and stays so while a member is dead, as everything else binds to 127.0.0.1.
+        # Members listen on a loopback host of this fleet alone. Everything else binds to 127.0.0.1, so a port
+        # reserved here is free once its socket is closed, and stays free while its member is dead.
         number, held = next(INSTANCE_SERIALS), []
         host = f"127.{1 + os.getpid() // 200 % 200}.{1 + os.getpid() % 200}.{1 + number % 250}"
         for at in range(members):
@@ -66,14 +66,14 @@
             sock.close()
 
     def addresses_for(self, member: int) -> list[Address]:
-        """The addresses of all members, in the order of numbers, as one sees them; its own is real."""
+        """The addresses of all members, by number, as `member` sees them; its own is the real one."""
         return [
             self.real[peer] if peer == member else self.socks[member, peer].getsockname()
             for peer in range(len(self.real))
         ]
 
     def partition(self, *sides: set[int]) -> None:
-        """Only members of one side reach each other; without sides everybody does."""
+        """Partitions the network: only members of one side reach each other. Without sides, heals it."""
         of = {member: number for number, side in enumerate(sides) for member in side}
         pairs = self.socks if sides else ()
         self.blocked = {(a, b) for a, b in pairs if of.get(a) != of.get(b)}
@@ -104,6 +104,6 @@
         heapq.heappush(self.waiting, (time.monotonic() + delay, self.rng.getrandbits(60), pair, content))
 
     def _send(self, sender: int, peer: int, content: bytes) -> None:
-        with contextlib.suppress(OSError):  # nobody may be there just now
+        with contextlib.suppress(OSError):  # the receiver may be down
             self.socks[peer, sender].sendto(content, self.real[peer])
             self.passed += 1
--- a/lab/discovery.py
+++ b/lab/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's agent: a stand-in that lists next hops and tells each change to everyone who watches."""
+"""A test discovery agent that lists next hops and streams each change to all watchers."""
 
 from __future__ import annotations
 
@@ -13,13 +13,15 @@
 
 
 class Discovery:
-    """`GET /v1/endpoints`, and the same with `follow=1&since=N` as a watch in chunks."""
+    """Serves `GET /v1/endpoints`, and with `follow=1&since=N` a watch as a chunked response."""
 
     def __init__(self, beat: float = 1.0) -> None:
-        """`beat`: seconds between the empty lines of a quiet watch."""
+        """`beat`: interval in seconds of the empty lines that keep an idle watch alive."""
         self.beat = beat
         self.revision = 1
-        self.members: dict[str, tuple[int, dict[str, Any]]] = {}  # by id: revision of the change, and entry
+        self.members: dict[
+            str, tuple[int, dict[str, Any]]
+        ] = {}  # by id: revision of the last change, and entry
         self.changed = threading.Condition()
         self.ended = False
         self.acceptor = Acceptor(self._serve)
@@ -43,7 +45,7 @@
         kind: str = "small-2c",
         up_since: float = 0.0,
     ) -> None:
-        """A change of one member; `up_since` is Unix time, 0 for long ago."""
+        """Publishes a change of one member; `up_since` is Unix time, 0 if it has been up for long."""
         entry = {
             "id": name,
             "host_port": f"{address[0]}:{address[1]}",
@@ -92,7 +94,7 @@
         sock.sendall(b"%x\r\n%b\n\r\n" % (len(line) + 1, line))
 
     def _since(self, revision: int, whole: bool = False) -> dict[str, Any]:
-        """What changed after a revision, or the whole list without what is gone."""
+        """The changes after a revision, or the whole list without deleted members."""
         members = [entry for at, entry in self.members.values() if at > revision or whole]
         if whole:
             members = [entry for entry in members if entry["phase"] != "DELETED"]
--- a/lab/faulty_calls.py
+++ b/lab/faulty_calls.py
@@ -1,11 +1,11 @@
-"""The ingress with system calls that fail for a while, as Linux documents that they may.
+"""Runs the ingress with injected system call failures of the kinds that Linux documents.
 
     FAULTS='{"calls": [{"call": "accept", "error": "ENFILE", "every": 2}], "from": 0.5, "until": 2}' \
         python -m lab.faulty_calls
 
 Starts `python -m standflow` with the methods of its sockets replaced: one call in `every` fails with `error`,
-or moves one byte where that is `short`, from so many seconds after the start until so many. A `connect_ex`
-that fails with EINTR goes on in the background, as connect(2) says.
+or transfers one byte if that is `short`, between `from` and `until` seconds after the start. A `connect_ex`
+that fails with EINTR continues in the background, as connect(2) describes.
 """
 
 from __future__ import annotations
@@ -26,20 +26,20 @@
 
 @dataclass(slots=True)
 class Window:
-    """When faults happen, seconds of the monotonic clock."""
+    """The time window in which faults are injected, in seconds of the monotonic clock."""
 
     begin: float
     end: float
 
     def open(self) -> bool:
-        """True while they do."""
+        """True inside the window."""
         return self.begin <= time.monotonic() < self.end
 
 
 def faulty(
     original: Callable[..., Any], name: str, error: str, every: int, window: Window
 ) -> Callable[..., Any]:
-    """A method that fails now and then."""
+    """Wraps a socket method so that every `every`-th call in the window fails."""
     count = 0
 
     def call(sock: socket.socket, *arguments: Any) -> Any:
@@ -63,7 +63,7 @@
 
 
 def install(faults: dict[str, Any]) -> None:
-    """Replaces the methods that the faults name."""
+    """Replaces the socket methods named in `faults`."""
     now = time.monotonic()
     window = Window(now + faults["from"], now + faults["until"])
     for fault in faults["calls"]:
--- a/lab/processes.py
+++ b/lab/processes.py
@@ -1,4 +1,4 @@
-"""Real ingress processes and box processes, started, watched and ended by the laboratory."""
+"""Ingress and box processes that the lab starts, observes and stops."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from typing import Any
 
 ROOT = Path(__file__).parent.parent
-WAIT_LIMIT_SECONDS = 20.0  # seconds after which what was waited for never comes
+WAIT_LIMIT_SECONDS = 20.0  # after which a wait fails
 
 
 class Ingress:
-    """One ingress by an operator's file, or by what `environment` says; its log is gathered as it comes."""
+    """One ingress process, configured by an operator's file or by `environment`; collects its log."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         environment: dict[str, str] | None = None,
         module: str = "standflow",
     ) -> None:
-        """`passed`: descriptors that it inherits; `module`: what starts it."""
+        """`passed`: file descriptors to inherit; `module`: the Python module to run."""
         given = {} if path is None else {"STANDFLOW_CONF": str(path)}
         self.process = subprocess.Popen(
             [sys.executable, "-m", module],
@@ -50,7 +50,7 @@
                 self.log_changed.notify_all()
 
     def wait_for_log(self, pattern: str, limit: float = WAIT_LIMIT_SECONDS) -> re.Match[str]:
-        """Waits for a line of the log."""
+        """Waits for a log line that matches; TimeoutError if there is none in time or the process exits."""
         end, at = time.monotonic() + limit, 0
         while True:
             with self.log_changed:
@@ -63,33 +63,33 @@
                 self.log_changed.wait(0.1)
 
     def address(self) -> tuple[str, int]:
-        """Where it listens, once it is ready."""
+        """The listening address, once the ingress is ready."""
         match = self.wait_for_log(r"ready \S+ on ([\d.]+):(\d+)")
         return match[1], int(match[2])
 
     def cpu(self) -> float:
-        """Processor seconds that it has used."""
+        """CPU seconds used so far."""
         text = Path(f"/proc/{self.process.pid}/schedstat").read_text()
         return int(text.split()[0]) / 1e9
 
     def rss_mb(self) -> float:
-        """Resident megabytes."""
+        """Resident set size in megabytes."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         found = re.search(r"VmRSS:\s+(\d+)", status)
         return int(found[1]) / 1024 if found else 0.0
 
     def peak_rss_mb(self) -> float:
-        """The most resident megabytes that it has had."""
+        """Peak resident set size in megabytes."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         found = re.search(r"VmHWM:\s+(\d+)", status)
         return int(found[1]) / 1024 if found else 0.0
 
     def signal(self, number: int) -> None:
-        """Sends it a signal."""
+        """Sends a signal to the process."""
         self.process.send_signal(number)
 
     def end(self) -> int:
-        """SIGTERM and, where that does not help, SIGKILL; its status."""
+        """Stops the process with SIGTERM, after a timeout with SIGKILL; returns the exit status."""
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(signal.SIGTERM)
         try:
@@ -104,7 +104,7 @@
 
 
 class BoxProcess:
-    """A box as a process of its own, with the calls of its control."""
+    """A box in its own process, driven through its control commands."""
 
     def __init__(self) -> None:
         self.process = subprocess.Popen(
@@ -120,13 +120,13 @@
         return answer
 
     def do(self, what: str, **arguments: Any) -> dict[str, Any]:
-        """One command of the control and its answer."""
+        """Sends one control command and returns the answer."""
         assert self.process.stdin is not None
         self.process.stdin.write(json.dumps({"do": what, **arguments}).encode() + b"\n")
         self.process.stdin.flush()
         return self._answer()
 
     def end(self) -> None:
-        """Ends it."""
+        """Kills the process."""
         self.process.kill()
         self.process.communicate()
--- a/lab/quotas.py
+++ b/lab/quotas.py
@@ -1,7 +1,7 @@
-"""Checks the promise on quotas against the truth: what ran for each tenant, and what was refused. No I/O.
+"""Checks quota enforcement against an ideal token bucket per tenant. No I/O.
 
-The truth is a store that sees every try at once and in order: a bucket of `burst` units that fills at `rate`
-a second. What such a store would have let in was inside quota, whoever was asked.
+The ideal bucket sees every request at once and in order; it holds `burst` units and fills at `rate` a second.
+What it admits was inside quota, no matter which ingress decided.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-WINDOW = 10.0  # seconds of the promise
+WINDOW = 10.0  # seconds over which the promise on use is given
 
 
 @dataclass(slots=True, frozen=True)
 class TenantRequest:
-    """One request of a tenant, answered at `at` seconds: its units ran, or were refused."""
+    """One request of a tenant, answered at `at` seconds: its units ran or were refused."""
 
     at: float
     tenant: str
@@ -25,29 +25,29 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaReport:
-    """Of all tenants, units: how far use went, and what was refused though it was inside quota."""
+    """Greatest use of an allowance, and units refused inside quota, over all tenants."""
 
     tenants: int
-    use: float  # greatest of any tenant over any 10 s, as a part of the allowance
-    worst_tenant: str  # that tenant
-    within_quota: float  # units that a store which sees everything lets in
-    shortfall: float  # of them, units that did not run
-    compliant_units: float  # units asked for by tenants that were inside quota throughout
-    refused_compliant_units: float  # of them, units that did not run
+    use: float  # greatest of any tenant over any 10 s, as a fraction of the allowance
+    worst_tenant: str  # the tenant with that use
+    within_quota: float  # units that the ideal bucket admits
+    shortfall: float  # of these, units that did not run
+    compliant_units: float  # units requested by tenants that stayed inside quota throughout
+    refused_compliant_units: float  # of these, units that did not run
 
     @property
     def refused_share(self) -> float:
-        """The part of what was inside quota that was refused."""
+        """The fraction of units inside quota that was refused."""
         return self.shortfall / self.within_quota if self.within_quota else 0.0
 
     @property
     def compliant_refused_share(self) -> float:
-        """The same for tenants that never asked for more than their quota."""
+        """The same for tenants that never requested more than their quota."""
         return self.refused_compliant_units / self.compliant_units if self.compliant_units else 0.0
 
 
 def evaluate_quotas(history: Iterable[TenantRequest], rate: float, burst: float) -> QuotaReport:
-    """The verdict on a history in any order. ValueError where the plan allows nothing."""
+    """The report on a history in any order. ValueError if the plan allows nothing."""
     allowance = burst + WINDOW * rate
     if allowance <= 0:
         raise ValueError("a plan without an allowance can't be judged")
@@ -80,7 +80,7 @@
 
 
 def _most(tries: Sequence[TenantRequest]) -> float:
-    """Most units that ran within any window; one that ran a whole window ago is outside."""
+    """Most units that ran within any window; a request exactly one window old is outside."""
     window: deque[TenantRequest] = deque()
     total = most = 0.0
     for one in tries:
@@ -95,7 +95,7 @@
 
 
 def _ideal(tries: Sequence[TenantRequest], rate: float, burst: float) -> float:
-    """Units that the store which sees everything lets in."""
+    """Units that the ideal bucket admits."""
     room, at, let_in = burst, tries[0].at, 0.0
     for one in tries:
         room, at = min(burst, room + (one.at - at) * rate), one.at
--- a/lab/shutdown.py
+++ b/lab/shutdown.py
@@ -130,10 +130,8 @@
             at, number = due.pop(0)
             prepare(at, number)
             process.send_signal(number)
-            if (
-                number == signal.SIGCONT or at == 0.0
-                # The signal was sent late, or the process was stopped for longer than planned.
-            ):
+            # Sent late, or the process was stopped for longer than planned.
+            if number == signal.SIGCONT or at == 0.0:
                 kill_at += play.now() - at
             if at == 0.0:
                 terminated = play.now() + play.zero
--- a/lab/streams.py
+++ b/lab/streams.py
@@ -1,6 +1,6 @@
-"""TCP between ingresses and what they connect to: passed on, late, cut without a word, or reset, on demand.
+"""A TCP proxy between ingresses and their endpoints that delays, blackholes or resets connections on demand.
 
-Each pair of an ingress and an end has an address of its own, at which the ingress sees that end.
+Each pair of an ingress and an endpoint has its own address, at which the ingress sees that endpoint.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 from lab.accept import RESET
 
 Address = tuple[str, int]
-Pair = tuple[int, int]  # an ingress and an end, by their numbers
+Pair = tuple[int, int]  # numbers of an ingress and an endpoint
 PIECE = 65536
 TICK = 0.02  # seconds
 
 
 @dataclass(slots=True, eq=False)
 class Direction:
-    """One direction of one connection. `waiting`: pieces with the time at which each is due."""
+    """One direction of a connection. `waiting`: a heap of pieces by the time at which each is due."""
 
     pair: Pair
     source: socket.socket
     sink: socket.socket
     other: Direction | None = None
     waiting: list[tuple[float, int, bytes]] = field(default_factory=list)
-    ended: bool = False  # the source's end was read
+    ended: bool = False  # end of stream was read from the source
 
 
 class TcpProxy:
-    """A relay on a thread of its own. What it does may be changed at any time.
+    """A proxy on its own thread. Its settings may be changed at any time.
 
-    `silent`: pairs between which nothing passes; a dial there hangs once the few places of the kernel's queue
-    are taken. `refused`: pairs whose connections are reset, new ones too. `delay`: seconds, each way.
+    `silent`: blackholed pairs; a dial there hangs once the kernel's short accept queue is full.
+    `refused`: pairs whose connections are reset, new ones too. `delay`: seconds, each way.
     """
 
     def __init__(self, ingresses: int, ends: list[Address]) -> None:
@@ -74,25 +74,25 @@
         self.selector.close()
 
     def addresses_for(self, ingress: int) -> list[Address]:
-        """Where an ingress finds the ends, in their order."""
+        """The addresses at which an ingress sees the endpoints, in order."""
         return [self.listeners[ingress, end].getsockname() for end in range(len(self.ends))]
 
     def cut(self, ingresses: set[int], ends: set[int]) -> None:
-        """Without a word."""
+        """Blackholes these pairs: nothing is forwarded and nothing is closed."""
         self.silent |= {(a, b) for a in ingresses for b in ends}
 
     def refuse(self, ingresses: set[int], ends: set[int]) -> None:
-        """Connections there are reset, and so is each new one."""
+        """Resets open and future connections of these pairs."""
         with self.lock:
             self.refused |= {(a, b) for a in ingresses for b in ends}
             for direction in [direction for direction in self.directions if direction.pair in self.refused]:
                 self._end(direction, True)
 
     def heal(self) -> None:
-        """All pass again, and what waited comes."""
+        """Forwards everything again, including data held back so far."""
         self.silent, self.refused, self.delay = set(), set(), 0.0
 
-    # The thread.
+    # The proxy thread.
 
     def _run(self) -> None:
         while self.open:
@@ -106,7 +106,7 @@
                     if direction in self.directions:
                         self._pass(direction, now)
             if ready and all(self._held(key.data) for key, _ in ready):
-                time.sleep(TICK)  # what is held stays readable
+                time.sleep(TICK)  # held sockets stay readable; avoids a busy loop
 
     def _held(self, data: Pair | Direction) -> bool:
         pair = data if isinstance(data, tuple) else data.pair
@@ -186,7 +186,7 @@
                 self.directions.remove(one)
                 if not one.ended:
                     self.selector.unregister(one.source)
-                if broken:  # no FIN goes out first
+                if broken:  # before close(), so that no FIN is sent first
                     one.source.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
                 one.source.close()
         self.resets += broken
--- a/lab/tenants.py
+++ b/lab/tenants.py
@@ -1,7 +1,8 @@
-"""Quotas of a whole fleet in simulated time: tenants of several plans, lossy messages, a bounded intake.
+"""Quotas of a whole fleet in simulated time: tenants of several plans, message loss, bounded intake.
 
-The fleet of `lab.vast` with tenants whose sets of ingresses overlap, and with backends so fast that room
-never binds: what is refused is refused for quota. A store that sees every try in order judges each decision.
+The fleet of `lab.vast` with tenants whose ingress sets overlap, and with backends so fast that capacity is
+never the limit: every refusal is for quota. An ideal bucket that sees every try in order classifies each
+decision.
 """
 
 from __future__ import annotations
@@ -19,29 +20,29 @@
 OFFICE = i.Plan("office", 4.8, 11.0, 0, 1.1, 0.0, 0.6, 0.0, 0.0, 0.0)
 CHAMBERS = i.Plan("chambers", 18.0, 25.0, 0, 1.6, 0.0, 1.0, 35.0, 47.0, 5.0)
 PLANS = (BASIC, OFFICE, CHAMBERS)
-# Tenants of each plan for an ingress, as on a day with 32 ingresses before 14 backends.
+# Tenants of each plan per ingress, as in a deployment of 32 ingresses and 14 backends.
 PER_INGRESS = {"basic": 3.25, "office": 1.2, "chambers": 0.4}
-# Of the tenants: those that ask too much all the time, now and then, and those that use nearly all.
+# Shares of tenants that exceed their quota all the time, exceed it in spikes, or use nearly all of it.
 HEAVY, SPIKY, FULL = 0.10, 0.16, 0.15
 SPIKE_SECONDS, SPIKE_EVERY_SECONDS = 2.0, 15.0
-RETRIES = 2  # by the client after a refusal
+RETRIES = 2  # of a client after a refusal
 BACKOFF_SECONDS = 0.1
-LOSS = 0.05  # of the messages, whatever the intake
+LOSS = 0.05  # of messages, before the intake limit
 DELAY_SECONDS = (0.0011, 0.038)
-CLIENTS = -1  # in the place of a gateway's number: an event of the tenants' own
+CLIENTS = -1  # instead of a gateway's number: an arrival event of a tenant
 
 
 @dataclass(slots=True)
 class Tenant:
-    """A customer, the ingresses it comes in by, and the store that its quota describes."""
+    """A tenant, the ingresses that its requests come through, and the ideal bucket of its quota."""
 
     name: str
     plan: i.Plan
     first: int
     size: int
     weights: list[float]
-    mean_rate: float  # tries a second, without retries
-    spike_rate: float  # the same while it spikes
+    mean_rate: float  # tries a second, not counting retries
+    spike_rate: float  # the same during a spike
     spike_offset: float
     level: float = 0.0  # units used of the burst
     level_at: float = 0.0
@@ -60,7 +61,7 @@
         return self.level
 
     def take_from_ceiling(self, now: float, units: float) -> float:
-        """Takes units of the second store and returns its level."""
+        """Adds units to the level of the ceiling's bucket and returns it."""
         drained = self.plan.ceiling_rate * (now - self.ceiling_at)
         self.ceiling_level = max(0.0, self.ceiling_level - drained) + units
         self.ceiling_at = now
@@ -69,31 +70,31 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """Counts of tries, by what the store that sees everything says of them."""
+    """Counts of tries, classified by the ideal bucket."""
 
     tries: int = 0
-    inside: int = 0  # tries whose units the store held
+    inside: int = 0  # tries that the ideal bucket admits
     refused_inside: int = 0
     refused_half_unused: int = 0  # refused with half of the burst or more unused
     sent: int = 0
-    sent_beyond: int = 0  # of plans that do not pay for it
-    ceiling_overrun: float = 0.0  # units past a ceiling at the worst moment, without its slack
+    sent_beyond: int = 0  # outside quota, of plans that do not pay for excess
+    ceiling_overrun: float = 0.0  # most units above a ceiling, not counting its slack
     waits: list[float] = field(default_factory=list)  # seconds from a try to its first attempt
 
 
 class TenantFleet(Fleet):
-    """Gateways whose tenants come in unevenly through many of them."""
+    """Gateways whose tenants spread requests unevenly over many of them."""
 
     def __init__(self, gateways: int, seed: int = 1, intake: float = 40.0, load: float = 1.0) -> None:
-        """`load`: times the tenants' usual number; `intake`: messages a second that a gateway takes in."""
+        """`load`: multiple of the usual number of tenants; `intake`: messages a second per gateway."""
         self.tenants: dict[str, Tenant] = {}
         self.intake = intake
         self.outcome = Outcome()
         self.undecided: dict[
             str, tuple[Tenant, int, float]
-        ] = {}  # by request: tenant, tries before, its time
-        self.cut_off: set[int] = set()  # gateways that only hear each other
-        self.received: dict[tuple[int, int], int] = {}  # messages by receiver and second
+        ] = {}  # by request: tenant, earlier tries, arrival time
+        self.cut_off: set[int] = set()  # gateways that only reach each other
+        self.received: dict[tuple[int, int], int] = {}  # message counts by receiver and second
         self.changes: dict[str, Any] = {"peer_intake": intake, "plans": PLANS, "max_units": 1.0}
         super().__init__(gateways, max(8, gateways), seed, rate=1.0, fast=100.0, **self.changes)
         self.queue = [entry for entry in self.queue if entry[3] is not None]
@@ -124,7 +125,7 @@
         self.push(at, CLIENTS, i.RequestCancelled(tenant.name))
 
     def step(self, number: int, event: i.Event | None) -> None:
-        """An arrival of a tenant's, or a gateway's own event."""
+        """Handles a tenant's arrival or a gateway's event."""
         if number != CLIENTS:
             super().step(number, event)
             return
@@ -148,13 +149,13 @@
         super().step(number, event)
 
     def settle(self, until: float) -> None:
-        """Plays up to a time and counts anew from there."""
+        """Runs up to a time, then resets the counters."""
         self.run(until)
         self.outcome = Outcome()
         self.received.clear()
 
     def restart(self, number: int) -> None:
-        """A gateway begins anew, empty; what it had open is forgotten."""
+        """Restarts a gateway with empty state; its open requests are dropped."""
         gateway = Gateway(settings(number, len(self.live), **self.changes), 7000 + number)
         self.queue = [entry for entry in self.queue if entry[2] != number]
         heapq.heapify(self.queue)
@@ -163,7 +164,7 @@
         self.tell_list(number, i.ListKind.SAVED)
 
     def deliver(self, sender: int, action: i.SendPeerMessage) -> None:
-        """A message, lost now and then on its way or past the receiver's intake."""
+        """Delivers a message unless it is lost, crosses a partition, or exceeds the receiver's intake."""
         assert action.peer is not None
         second = (action.peer, int(self.now))
         self.received[second] = self.received.get(second, 0) + 1
@@ -174,7 +175,7 @@
         self.post(self.random.uniform(*DELAY_SECONDS), action.peer, i.PeerMessage(sender, action.content))
 
     def send(self, number: int, action: i.Send) -> None:
-        """Judges a first attempt by the tenant's true store."""
+        """Classifies a first attempt by the tenant's ideal bucket."""
         if action.request in self.undecided:
             tenant, _, came = self.undecided.pop(action.request)
             used = tenant.used(self.now)
@@ -188,7 +189,7 @@
         super().send(number, action)
 
     def refuse(self, number: int, action: i.Refuse) -> None:
-        """Judges a refusal for quota, and lets the client come again."""
+        """Classifies a refusal for quota and schedules the client's retry."""
         tenant, tries, _ = self.undecided.pop(action.request)
         if action.reason == "quota":
             self._judge(tenant, tenant.used(self.now), sent=False)
@@ -206,10 +207,10 @@
         outcome.refused_half_unused += used <= plan.burst / 2 and not sent
 
     def busiest_second(self) -> float:
-        """Messages that came to a gateway in its worst second, as a part of its intake."""
+        """Most messages that a gateway received in one second, as a fraction of its intake."""
         return max(self.received.values(), default=0) / self.intake
 
     def messages_to_intake(self) -> float:
-        """Messages sent in the mean second to a gateway, as a part of its intake."""
+        """Mean messages a second sent to a gateway, as a fraction of its intake."""
         seconds = len({second for _, second in self.received})
         return sum(self.received.values()) / (len(self.live) * max(1, seconds) * self.intake)
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -1,4 +1,4 @@
-"""The relay between ingresses: who is seen as the sender, and what a cut and a loss do."""
+"""The datagram proxy: sender addresses, cuts and loss."""
 
 from __future__ import annotations
 
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""The checker of the promise, on histories that are known to keep or break it."""
+"""The quota checker, on histories that are known to respect or exceed a quota."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from lab.quotas import TenantRequest, evaluate_quotas
 
-RATE, BURST = 2.0, 10.0  # an allowance of 30 in any 10 s
+RATE, BURST = 2.0, 10.0  # an allowance of 30 units over any 10 s
 
 
 def steady(a_second: float, seconds: float, ran: bool = True, tenant: str = "a") -> list[TenantRequest]:
@@ -41,7 +41,7 @@
 
 def test_refusals_inside_quota_are_told_from_refusals_beyond_it() -> None:
     beyond = [TenantRequest(one.at, "heavy", 1, n < 10 or n % 2 == 0) for n, one in enumerate(steady(4, 20))]
-    fair = evaluate_quotas(beyond, RATE, BURST)  # it got its rate and its burst, and was refused the rest
+    fair = evaluate_quotas(beyond, RATE, BURST)  # its rate and burst ran, the excess was refused
     assert fair.refused_share < 0.15
     assert fair.compliant_units == 0
     assert evaluate_quotas(steady(4, 20, ran=False), RATE, BURST).refused_share == 1.0
