--- a/lab/fleet/__init__.py
+++ b/lab/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet under one command: real processes, or simulated time, with faults between any two members."""
+"""Fleets of real processes or in simulated time, with faults injected between any two members."""
--- a/lab/fleet/__main__.py
+++ b/lab/fleet/__main__.py
@@ -1,7 +1,7 @@
 """Plays a schedule on a fleet of real ingresses: python -m lab.fleet SCHEDULE --seed N --plot FILE
 
-SCHEDULE is a file (lab/fleet/schedule.py has its form), `-` for nothing at all, or `draw` for troubles drawn
-from the seed. Prints what held; status 1 where a rule was broken.
+SCHEDULE is a file (lab/fleet/schedule.py describes the format), `-` for no steps, or `draw` for faults drawn
+from the seed. Prints the results; exits with status 1 if a rule was violated.
 """
 
 from __future__ import annotations
@@ -19,13 +19,17 @@
 
 @click.command()
 @click.argument("what")
-@click.option("--size", default=6, help="Ingresses.")
+@click.option("--size", default=6, help="Number of ingresses.")
 @click.option("--span", default=24.0, help="Seconds of load.")
 @click.option("--seed", default=0)
-@click.option("--view/--no-view", default=True, help="With the fleet's view, or as without the block.")
-@click.option("--store/--no-store", default=False, help="A disk for each ingress that outlives it.")
-@click.option("--plot", type=click.Path(path_type=Path), help="A picture (PNG, SVG or PDF).")
-@click.option("--save", type=click.Path(path_type=Path), help="The record (Parquet).")
+@click.option(
+    "--view/--no-view", default=True, help="With the membership view (the fleet block), or without."
+)
+@click.option(
+    "--store/--no-store", default=False, help="A store folder for each ingress that survives restarts."
+)
+@click.option("--plot", type=click.Path(path_type=Path), help="Write a plot (PNG, SVG or PDF).")
+@click.option("--save", type=click.Path(path_type=Path), help="Write the record (Parquet).")
 def main(
     what: str,
     size: int,
@@ -36,7 +40,7 @@
     plot: Path | None,
     save: Path | None,
 ) -> None:
-    """Plays WHAT on a fleet and says what held."""
+    """Play WHAT on a fleet and print the results."""
     try:
         if what == "draw":
             steps = schedule.draw(seed, size, span)
--- a/lab/fleet/plot.py
+++ b/lab/fleet/plot.py
@@ -1,4 +1,4 @@
-"""A picture of a run: answers, refusals and losses a second, whom each holds for present, and the faults."""
+"""Plots a run: requests a second by outcome, how many members each considers alive, and the steps."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def draw(table: pl.DataFrame, offset: float, path: Path) -> None:
-    """`offset`: when the schedule began, in the record's seconds."""
+    """`offset`: time at which the schedule began, in seconds of the record."""
     table = table.with_columns(t=pl.col("t") - offset)
     asked = table.filter(pl.col("what") == "asked")
     figure, (above, below) = plt.subplots(2, 1, sharex=True, figsize=(10, 6), height_ratios=(3, 2))
@@ -41,7 +41,7 @@
         times.append(row["t"])
         sizes.append(len(held[member]))
     for member, (times, sizes) in sorted(lines.items()):
-        shift = 0.06 * member  # so that equal ones can be told apart
+        shift = 0.06 * member  # keeps lines of equal value apart
         steps = [size + shift for size in [*sizes, sizes[-1]]]
         below.step([*times, until], steps, where="post", label=f"n{member}", linewidth=1)
     below.set_ylabel("held for present by each")
--- a/lab/fleet/record.py
+++ b/lab/fleet/record.py
@@ -1,8 +1,8 @@
-"""One columnar record of what happened to a fleet, and checkers that read nothing else.
+"""A columnar record of a fleet run, and checks that read only the record.
 
-A row is a request (`asked`), a run of one at a box (`ran`, and `came` with its time and work), a step of the
-schedule (`step`), the beginning or the end of a life (`began`, `ended`), or a change of somebody's view
-(`view`). Times are seconds since the beginning.
+A row is a request (`asked`), an execution at a box (`ran`, and `came` with its time and work), a step of the
+schedule (`step`), the start or exit of an ingress process (`began`, `ended`), or a change of a member's
+membership list (`view`). Times are seconds since the site began.
 """
 
 from __future__ import annotations
@@ -18,23 +18,19 @@
     "t": pl.Float64, "what": pl.String, "member": pl.Int64, "tenant": pl.String, "ident": pl.String,
     "safe": pl.Boolean, "end": pl.String, "took": pl.Float64, "place": pl.Int64, "state": pl.String,
 }  # fmt: skip
-IN_FLIGHT_GRACE_SECONDS = 0.5  # seconds after a word on a drain in which what is on its way still comes
-OVERLOAD_FACTOR, OVERLOAD_WINDOW_SECONDS = (
-    4.0,
-    3.0,
-)  # a box falls over when sent so many times what it can do, for so many seconds
-MAX_QUOTA_USE = 1.10  # of an allowance in any ten seconds, as promised
-COLD_START_SHARE, WARM_UP_SECONDS = (
-    0.15,
-    17.0,
-)  # of a core, and seconds until all of it: as in the operator's file
+IN_FLIGHT_GRACE_SECONDS = 0.5  # after a drain is published, for requests already on their way
+# A box fails when it is sent this multiple of its capacity over this window.
+OVERLOAD_FACTOR, OVERLOAD_WINDOW_SECONDS = 4.0, 3.0
+MAX_QUOTA_USE = 1.10  # of an allowance over any 10 s, as promised to tenants
+# Share of a core right after a start, and seconds until all of it, as in the operator's file.
+COLD_START_SHARE, WARM_UP_SECONDS = 0.15, 17.0
 LATE_SLACK_SECONDS = (
-    0.5  # seconds past its deadline at which an answer counts as late, on a machine that does much at once
+    0.5  # past its deadline an answer counts as late; allows for a machine busy with the whole fleet
 )
 
 
 def record(site: Site) -> pl.DataFrame:
-    """All of a site, after it was played."""
+    """Builds the record of a site after its run."""
     rows: list[tuple[object, ...]] = []
     for one in site.asked:
         rows.append(
@@ -61,7 +57,7 @@
 
 
 def unanswered(table: pl.DataFrame) -> int:
-    """Requests without a whole answer whose ingress was not killed, or held still, meanwhile."""
+    """Requests without a complete answer whose ingress was neither killed nor paused in the meantime."""
     lost = table.filter((pl.col("what") == "asked") & (pl.col("end") == "lost"))
     ends = table.filter(pl.col("what") == "ended").select("member", gone="t")
     held = table.filter((pl.col("what") == "step") & (pl.col("state") == "hold")).select(
@@ -83,7 +79,7 @@
 
 
 def late(table: pl.DataFrame) -> int:
-    """Answers that came after the caller had given up."""
+    """Answers that arrived after the caller had given up; none count in a run that paused an ingress."""
     answered = pl.col("end").is_in(["served", "refused", "failed"])
     held = table.filter((pl.col("what") == "step") & (pl.col("state") == "hold")).height
     asked = table.filter(
@@ -93,7 +89,7 @@
 
 
 def requests_to_draining(table: pl.DataFrame) -> int:
-    """Requests that came to a box between the word that it drains and the word that it is back."""
+    """Requests that reached a box between its drain and its return, both as published by discovery."""
     count, words = 0, table.filter((pl.col("what") == "step") & pl.col("state").is_in(["drain", "back"]))
     for row in words.filter(pl.col("state") == "drain").iter_rows(named=True):
         of = words.filter((pl.col("member") == row["member"]) & (pl.col("state") == "back"))
@@ -107,7 +103,7 @@
 
 
 def pushed(table: pl.DataFrame) -> float:
-    """The most that a box which came back was sent over any FALL_WINDOW, as a part of what makes it fall."""
+    """The most load on a restarted box over any window, as a fraction of the load that overloads it."""
     most = 0.0
     backs = table.filter((pl.col("what") == "step") & (pl.col("state") == "back"))
     for row in backs.iter_rows(named=True):
@@ -125,20 +121,20 @@
 
 
 def answered_twice(table: pl.DataFrame) -> int:
-    """Requests with more than one final answer on record."""
+    """Requests with more than one final answer."""
     asked = table.filter(pl.col("what") == "asked").group_by("ident").len()
     return asked.filter(pl.col("len") > 1).height
 
 
 def ran_twice(table: pl.DataFrame) -> int:
-    """Changes that ran more than once."""
+    """Unsafe requests that ran more than once."""
     unsafe = table.filter((pl.col("what") == "asked") & ~pl.col("safe")).select("ident")
     runs = table.filter(pl.col("what") == "ran").join(unsafe, on="ident").group_by("ident").len()
     return runs.filter(pl.col("len") > 1).height
 
 
 def quotas(table: pl.DataFrame, members: set[int] | None = None) -> QuotaReport:
-    """Use of each tenant over any 10 s, and what was refused; `members`: asked through these alone."""
+    """Quota use over any 10 s and refusals; `members`: counts only requests through these ingresses."""
     rows = table.filter((pl.col("what") == "asked") & pl.col("end").is_in(["served", "refused"]))
     if members is not None:
         rows = rows.filter(pl.col("member").is_in(sorted(members)))
@@ -151,14 +147,14 @@
 
 @dataclass(slots=True, frozen=True)
 class MembershipAgreement:
-    """Whether all that live hold the live for present at the end, and since when."""
+    """Whether all live members consider exactly the live members alive at the end, and since when."""
 
     agree: bool
     since: float
 
 
 def membership_agreement(table: pl.DataFrame) -> MembershipAgreement:
-    """From the changes alone."""
+    """Computes the agreement from the recorded changes."""
     held: dict[int, set[int]] = {}
     agree, since = False, 0.0
     for row in table.filter(pl.col("what").is_in(["began", "ended", "view"])).iter_rows(named=True):
@@ -176,7 +172,7 @@
 
 
 def faults(table: pl.DataFrame) -> list[str]:
-    """Every rule that a run broke, in words; none where all is well."""
+    """Descriptions of all rules that a run violated; empty if none."""
     found = []
     for name, count in (
         ("requests without an answer", unanswered(table)),
--- a/lab/fleet/schedule.py
+++ b/lab/fleet/schedule.py
@@ -1,22 +1,22 @@
-"""What happens to a fleet, and when: a small text, or drawn from a seed. No I/O.
+"""Schedules of faults for a fleet: parsed from a small text format, or drawn from a seed. No I/O.
 
-# seconds, what, and to whom
-8     cut 3 4          # these reach each other, and the others each other
+# seconds, step, and members
+8     cut 3 4          # partition: these reach each other, and the others each other
 18    heal
-8     block 0 2        # neither hears the other
-8     mute 4 5         # they hear the others, and are not heard
+8     block 0 2        # no datagrams between any of these
+8     mute 4 5         # datagrams from these to the others are dropped
 8     kill 3 4         # SIGKILL
 9.5   start 3 4
 8     stop 2           # SIGTERM
 8     hold 1 3s        # SIGSTOP, and SIGCONT after 3 s
 0     loss 6.5%        # also: again 5%, noise 1%, delay 30ms
-8     box-cut 0 1      # nothing passes between these and any box, without a word
+8     box-cut 0 1      # blackholes connections between these and all boxes
 8     box-reset 0 1    # their connections to boxes are reset, new ones too
 0     box-delay 20ms   # each way, for all
-8     list-cut 0 1     # nothing comes from discovery
-8     box-heal         # boxes and discovery are reached again
-8     drain 1          # box 1 drains, by discovery
-9     back 1           # it was restarted, cold, and serves
+8     list-cut 0 1     # blackholes discovery for these
+8     box-heal         # boxes and discovery are reachable again
+8     drain 1          # discovery reports box 1 as draining
+9     back 1           # box 1 was restarted, cold, and serves
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 TO_MEMBERS = ("cut", "block", "mute", "kill", "start", "stop", "hold")
 AMOUNTS = ("loss", "again", "noise", "delay", "hold", "box-delay")
-ON_STREAMS = ("box-cut", "box-reset", "list-cut")  # to members, too
+ON_STREAMS = ("box-cut", "box-reset", "list-cut")  # these take members, too
 TO_BOXES = ("drain", "back")
 ALONE = ("heal", "box-heal")
 NEEDS_STREAMS = (*ON_STREAMS, *TO_BOXES, "box-delay", "box-heal")
@@ -35,12 +35,12 @@
 
 
 class ScheduleError(ValueError):
-    """A line that can't be read; its text names it."""
+    """A line that can't be parsed; the message names the line."""
 
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """At so many seconds, something. `amount`: seconds, or a part of one."""
+    """A step at `at` seconds. `amount`: seconds, or a fraction."""
 
     at: float
     what: str
@@ -49,7 +49,7 @@
 
 
 def read(text: str, size: int) -> list[Step]:
-    """The steps of a text in the order of their time, for a fleet of so many."""
+    """Parses a text into steps, in order of time, for a fleet of `size` members."""
     steps = []
     for number, line in enumerate(text.splitlines(), 1):
         words = line.partition("#")[0].split()
@@ -82,7 +82,7 @@
 
 
 def draw(seed: int, size: int, span: float) -> list[Step]:
-    """Troubles of all kinds over a span, each over before its last third; the same for the same seed."""
+    """Draws faults of all kinds, all over before the last third of the span; deterministic for a seed."""
     rng = random.Random(seed)
     steps = [Step(0.0, "loss", amount=rng.choice([0.0, 0.03, 0.065]))]
     steps.append(Step(0.0, "delay", amount=rng.choice([0.0, 0.01, 0.03])))
--- a/lab/fleet/simulated.py
+++ b/lab/fleet/simulated.py
@@ -1,6 +1,6 @@
-"""Many members in simulated time: the same decisions as in the ingress, on a network of our own.
+"""Many fleet members in simulated time: the ingress's membership code on a simulated network.
 
-No sockets and no clock but the fleet's. The same seed gives the same run.
+Uses no sockets and no clock but its own. The same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Members:
-    """So many members, started at once; datagrams take `delay` seconds and get lost by `loss`."""
+    """`size` members, started at once; datagrams take about `delay` seconds; a share of `loss` is lost."""
 
     def __init__(
         self, size: int, seed: int = 0, loss: float = 0.0, delay: float = 0.01, start: bool = True
@@ -27,17 +27,17 @@
         self.now, self.serial = 1e6, 0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.live: dict[int, Membership] = {}
-        self.stopped: dict[int, list[tuple[int, bytes]]] = {}  # held still, with what waits for them
+        self.stopped: dict[int, list[tuple[int, bytes]]] = {}  # paused, with the datagrams queued for them
         self.blocked: Callable[[int, int], bool] = lambda sender, to: False
-        self.again = 0.0  # part of the datagrams that come twice, the second one late
-        self.taken: dict[int, list[float]] = {}  # when a member took something in, for its worst second
+        self.again = 0.0  # share of datagrams duplicated, the copy delayed
+        self.taken: dict[int, list[float]] = {}  # times of accepted datagrams, by member
         self.lives = 0
         if start:
             for member_id in range(size):
                 self.start(member_id)
 
     def start(self, member_id: int, at: float | None = None) -> Membership:
-        """A member begins, or begins anew, with nothing known."""
+        """Starts or restarts a member with no known peers."""
         self.lives += 1
         boot_time_ms = round((self.now if at is None else at) * 1000) + self.lives
         rng = random.Random(self.rng.random())
@@ -49,26 +49,26 @@
         return membership
 
     def kill(self, *member_ids: int) -> None:
-        """They end without a message."""
+        """Removes members without a message, as by SIGKILL."""
         for member_id in member_ids:
             del self.live[member_id]
 
     def leave(self, member_id: int) -> None:
-        """One ends in order."""
+        """Shuts a member down in order."""
         self._carry(member_id, self.live[member_id].leave())
         del self.live[member_id]
 
     def hold(self, member_id: int) -> None:
-        """One stands still, as by SIGSTOP; what comes waits."""
+        """Pauses a member, as by SIGSTOP; datagrams to it are queued."""
         self.stopped[member_id] = []
 
     def resume(self, member_id: int) -> None:
-        """It goes on, and reads what waited."""
+        """Resumes a paused member, which then reads the queued datagrams."""
         for sender, content in self.stopped.pop(member_id):
             self._deliver(sender, member_id, content)
 
     def run(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Advances the simulated time."""
         until = self.now + seconds
         while self.queue and self.queue[0][0] <= until:
             self.now, _, call = heapq.heappop(self.queue)
@@ -76,7 +76,7 @@
         self.now = until
 
     def until(self, met: Callable[[], bool], limit: float) -> float:
-        """Seconds until something is so; `limit` where it is not so by then."""
+        """Seconds until a condition is met; `limit` if it is not met by then."""
         began = self.now
         while not met():
             if self.now - began >= limit:
@@ -85,7 +85,7 @@
         return self.now - began
 
     def all_agree(self, alive: set[int] | None = None) -> bool:
-        """All live members hold the live, and nobody else, for alive."""
+        """True if every live member considers exactly the live members alive."""
         wanted = set(self.live) if alive is None else alive
         return all(membership.alive_ids() == wanted for membership in self.live.values())
 
--- a/lab/fleet/site.py
+++ b/lab/fleet/site.py
@@ -1,4 +1,4 @@
-"""A fleet of real ingresses on loopback, callers with tenants in sets, and what a schedule does to them."""
+"""A fleet of real ingresses on loopback, with callers of several tenants, driven by a schedule."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 from lab.quotas import TenantRequest
 from lab.streams import TcpProxy
 
-RATE, BURST = 4.0, 12.0  # of each tenant's plan, in requests of one unit
-FAILURE_DETECTION_SECONDS = (0.9, 3.1)  # seconds for which a front goes on sending to a dead ingress
+RATE, BURST = 4.0, 12.0  # of each tenant's plan; a request is one unit
+FAILURE_DETECTION_SECONDS = (0.9, 3.1)  # range in which a load balancer keeps sending to a dead ingress
 DEADLINE = 3.0
 HEAVY, CALM = 3, 6  # tenants
-REQUEST_CPU_SECONDS = 0.05  # processor seconds of a request at a box of one core, where streams are relayed
+REQUEST_CPU_SECONDS = 0.05  # per request at a box of one core, with streams
 SETTINGS_TEMPLATE = """
 name      n{number}
 listen    127.0.0.1:0
@@ -64,20 +64,20 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestRecord:
-    """One request: when it was sent, to whom, and how it ended after how long."""
+    """One request. `at`: when it was sent; `took`: seconds until it ended as `end`."""
 
     at: float
     tenant: str
     member: int
     ident: str
     safe: bool
-    end: str  # served, refused, failed, lost (no whole answer) or down (nobody took the connection)
+    end: str  # served, refused, failed, lost (no complete answer) or down (connection refused)
     took: float
 
 
 @dataclass(slots=True, frozen=True)
 class Deployment:
-    """What the file of all ingresses says of requests; deadlines in seconds."""
+    """Request settings in the file of every ingress; deadlines in seconds."""
 
     look_deadline: float = DEADLINE
     change_deadline: float = DEADLINE
@@ -87,12 +87,12 @@
 
     @property
     def longest_deadline(self) -> float:
-        """Seconds: what a shutdown goes by."""
+        """The deadline in seconds that a shutdown goes by."""
         return max(self.look_deadline, self.change_deadline)
 
 
 class Site:
-    """Starts the fleet; all of it ends with the site. Times are seconds since `begin`."""
+    """Starts a fleet and stops all of it on exit. Times are seconds since `begin`."""
 
     def __init__(
         self,
@@ -107,9 +107,9 @@
         cores: float = 1.0,
         relayed: bool = True,
     ) -> None:
-        """`store`: each ingress has a disk that outlives it. `streams`: it finds boxes by discovery, and both
-        by way of a relay; boxes have so many cores each then, a request takes `work` seconds of one. Where
-        they are not `relayed` only discovery is, and boxes are met at their own addresses.
+        """`store`: each ingress has a store folder that survives restarts. `streams`: ingresses find boxes by
+        discovery and reach both through a TCP proxy; boxes then have `cores` cores each, and a request takes
+        `work` CPU seconds. Without `relayed` only discovery is proxied, and boxes are reached directly.
         """
         self.deployment, self.relayed = deployment or Deployment(), relayed
         self.size, self.view, self.seed, self.store = size, view, seed, store
@@ -119,7 +119,7 @@
         work, cores = (work, cores) if streams else (0.0, 0.0)
         self.boxes = [self.stack.enter_context(Box(work=work, cores=cores)) for _ in range(boxes)]
         self.streams: TcpProxy | None = None
-        # one for each ingress, as each sees the boxes at the relay's addresses for it
+        # one per ingress, since each sees the boxes at its own proxy addresses
         self.lists = [self.stack.enter_context(Discovery(0.5)) for _ in range(size if streams else 0)]
         if streams:
             endpoints = [box.address for box in self.boxes] + [one.address for one in self.lists]
@@ -128,12 +128,12 @@
                 self._publish_box(number)
         self.live: dict[int, Ingress] = {}
         self.addresses: dict[int, tuple[str, int]] = {}
-        self.process_runs: list[tuple[int, float, Ingress]] = []  # member, when it began, its process
-        self.process_ends: list[tuple[int, float]] = []  # of lives, by member
+        self.process_runs: list[tuple[int, float, Ingress]] = []  # member, start time, process
+        self.process_ends: list[tuple[int, float]] = []  # member, exit time
         self.down_since: dict[int, float] = {}
-        self.killed: set[int] = set()  # what was under way there may have run
+        self.killed: set[int] = set()  # requests in flight there may have run
         self.asked: list[RequestRecord] = []
-        self.runs = 0  # so many spans were played
+        self.runs = 0  # number of spans played
         self.executed_steps: list[tuple[float, Step]] = []
         self.begin = time.time()
         try:
@@ -154,14 +154,14 @@
         """Seconds since the site began."""
         return time.time() - self.begin
 
-    # What a schedule does.
+    # Steps of a schedule.
 
     def start(
         self, *members: int, module: str = "standflow", environment: dict[str, str] | None = None
     ) -> None:
-        """Ingresses by their numbers, all at once, with nothing kept of an earlier life but for the store.
+        """Starts ingresses by number, all at once; of an earlier run only the store is kept.
 
-        `module` is what starts them, with this `environment` beside their own.
+        `module`: the Python module to run, with `environment` added to the inherited one.
         """
         for member in members:
             self.configure(member, self.deployment)
@@ -175,7 +175,7 @@
             self.killed.discard(member)
 
     def configure(self, member: int, deployment: Deployment, watched: int | None = None) -> None:
-        """Writes an ingress's file; `watched`: by whose list it finds boxes, by default its own."""
+        """Writes an ingress's file; `watched`: whose discovery it follows, by default its own."""
         lines = ["peer-listen {}:{}".format(*self.network.real[member])]
         lines += ["peer {}:{}".format(*address) for address in self.network.addresses_for(member)]
         hops = [
@@ -204,11 +204,11 @@
         )
 
     def disk(self, member: int) -> Path:
-        """Where an ingress's store lies."""
+        """The folder of an ingress's store."""
         return self.folder / f"disk-{member}"
 
     def kill(self, *members: int) -> None:
-        """SIGKILL, all at once."""
+        """Sends SIGKILL to all at once."""
         for member in members:
             self.down_since[member] = self.now()
             self.killed.add(member)
@@ -218,7 +218,7 @@
             self.live.pop(member).process.wait()
 
     def stop(self, *members: int) -> None:
-        """SIGTERM."""
+        """Sends SIGTERM and waits for the exits."""
         for member in members:
             self.down_since[member] = self.now()
             self.live[member].signal(signal.SIGTERM)
@@ -227,7 +227,7 @@
             self.process_ends.append((member, self.now()))
 
     def do(self, step: Step) -> None:
-        """Carries one step out."""
+        """Executes one step."""
         members, others = set(step.members), set(range(self.size)) - set(step.members)
         if step.what == "cut":
             self.network.partition(members, others)
@@ -265,7 +265,7 @@
         self.executed_steps.append((self.now(), step))
 
     def _publish_box(self, number: int, phase: str = "SERVING") -> None:
-        """Discovery's word on a box, to each ingress with the address at which that one sees it."""
+        """Publishes a box in every discovery, with the address at which that ingress sees the box."""
         for member, one in enumerate(self.lists):
             assert self.streams is not None
             address = (
@@ -274,7 +274,7 @@
             one.publish(f"s-{number}", address, phase, up_since=self.boxes[number].started)
 
     def run(self, steps: list[Step], span: float, load: bool = True) -> None:
-        """Plays a schedule, with callers all the while; may be called again, and the next span follows."""
+        """Plays a schedule under load; each further call plays another span."""
         self.runs += 1
         began = self.now()
         caller_threads = [
@@ -288,12 +288,12 @@
         time.sleep(max(0.0, began + span - self.now()))
         for caller_thread in caller_threads if load else ():
             caller_thread.join(span + WAIT_LIMIT_SECONDS)
-            assert not caller_thread.is_alive()  # a history cut short proves nothing
+            assert not caller_thread.is_alive()  # a truncated history proves nothing
 
-    # Callers: one thread for what the fronts deal out to one ingress.
+    # Callers: one thread for the load that the load balancers send to one ingress.
 
     def tenants(self) -> dict[str, float]:
-        """Each tenant and how many times its rate it asks for."""
+        """Each tenant with its load as a multiple of its rate."""
         return {f"heavy{n}": 2.0 for n in range(HEAVY)} | {f"calm{n}": 0.3 for n in range(CALM)}
 
     def _run_callers(self, number: int, span: float) -> None:
@@ -317,7 +317,7 @@
             sock.close()
 
     def _choose_member(self, number: int, rng: random.Random) -> int:
-        """The front goes on sending to a dead ingress until it notices."""
+        """Picks an ingress as a load balancer does: a dead one is used until its failure is detected."""
         notice = random.Random(f"{number} {self.down_since.get(number)}").uniform(*FAILURE_DETECTION_SECONDS)
         if self.now() - self.down_since.get(number, self.now()) < notice or len(self.down_since) >= self.size:
             return number
@@ -334,7 +334,7 @@
         name = b"Q.ASK" if safe else b"Q.DO"
         text = command([name, b"%016x" % crc32(tenant.encode()), ident.encode(), options])
         if member in socks and select.select([socks[member]], [], [], 0)[0]:
-            socks.pop(member).close()  # it was closed meanwhile, and nothing crosses that
+            socks.pop(member).close()  # closed while idle: reconnects before sending
         for kept in (True, False) if member in socks else (False,):
             try:
                 if not kept:
@@ -348,13 +348,13 @@
                     socks.pop(member).close()
                 if isinstance(error, ConnectionRefusedError):
                     return "down"
-                # closed between two commands as this one crossed it: sent once more, on a new connection
+                # The request crossed a close between two commands: it is sent once more on a new connection.
                 crossed = isinstance(error, ClosedWithoutReplyError) and member not in self.killed
                 if not kept or not crossed:
                     return "lost"
         return "lost"
 
-    # What is seen of it.
+    # Observations.
 
     def quota_history(self) -> list[TenantRequest]:
         """The tenants' history, for lab.quotas.evaluate_quotas."""
@@ -365,17 +365,17 @@
         ]
 
     def changes(self) -> list[tuple[float, int, int, str]]:
-        """From the logs: when, whose view, of which place, and what it is held for now."""
+        """Membership changes from the logs: time, observing member, member id and new state."""
         found = []
         for member, began, ingress in self.process_runs:
             found.append((began, member, member, "began"))
             for line in list(ingress.log):
                 if (match := STATE_CHANGE_LINE.match(line)) is not None and int(match[2]) != member:
                     found.append((float(match[1]) - self.begin, member, int(match[2]), match[3]))
-        return sorted(found, key=lambda change: change[0])  # within a moment as they were logged
+        return sorted(found, key=lambda change: change[0])  # stable: equal times stay in log order
 
     def membership_views(self) -> dict[int, set[int]]:
-        """Whom each live ingress holds for present."""
+        """The members that each live ingress considers alive."""
         views: dict[int, set[int]] = {}
         for _, member, place, state in self.changes():
             if state == "began":
@@ -387,11 +387,11 @@
         return {member: view for member, view in views.items() if member in self.live}
 
     def all_agree(self) -> bool:
-        """All live ingresses hold the live, and nobody else, for present."""
+        """True if every live ingress considers exactly the live ingresses alive."""
         return all(view == set(self.live) for view in self.membership_views().values())
 
     def wait_for_agreement(self, limit: float) -> float:
-        """Seconds until they do; `limit` where they don't by then."""
+        """Seconds until all agree; `limit` if they don't by then."""
         began = time.monotonic()
         while not self.all_agree():
             if time.monotonic() - began > limit:
--- a/lab/soak/__init__.py
+++ b/lab/soak/__init__.py
@@ -1,5 +1,5 @@
-"""A seeded soak: ingresses that are restarted again and again while everything around them fails.
+"""A seeded soak test: ingresses are restarted repeatedly while faults hit everything around them.
 
-`plan` draws a run from a seed, `play` carries it out on real processes, `record` is what is kept of it,
-`checks` finds what broke from that alone, and `timeline` draws it.
+`plan` draws a run from a seed, `play` executes it on real processes, `record` defines the recorded rows,
+`checks` finds rule violations from the record alone, and `timeline` plots it.
 """
--- a/lab/soak/__main__.py
+++ b/lab/soak/__main__.py
@@ -1,7 +1,7 @@
-"""Plays seeds of the soak: python -m lab.soak --first-seed N --seeds 50 --at-once 4
+"""Plays seeds of the soak test: python -m lab.soak --first-seed N --seeds 50 --at-once 4
 
-One line a seed with what broke; a seed that failed leaves its record, the logs of its ingresses and a picture
-of its timeline in a folder, and the command that plays it alone is printed. Status 1 where a seed failed.
+Prints one line per seed. A failed seed leaves its record, the logs of its ingresses and a timeline plot in a
+folder, and the command that replays it is printed. Exits with status 1 if a seed failed.
 """
 
 from __future__ import annotations
@@ -25,13 +25,18 @@
 
 
 @click.command()
-@click.option("--first-seed", default=1, help="The first seed that is played.")
-@click.option("--seeds", default=1, help="How many, one after the other from the first.")
-@click.option("--at-once", default=1, help="How many are played side by side, each in a process of its own.")
-@click.option("--found", type=click.Path(path_type=Path), default=Path("found"), help="Folder for failures.")
+@click.option("--first-seed", default=1, help="The first seed to play.")
+@click.option("--seeds", default=1, help="How many seeds, one after the other from the first.")
+@click.option("--at-once", default=1, help="How many seeds are played in parallel, each in its own process.")
+@click.option(
+    "--found",
+    type=click.Path(path_type=Path),
+    default=Path("found"),
+    help="Folder for records of failed seeds.",
+)
 @click.option("--without-known", is_flag=True, help="Leave out the seeds that KNOWN-RED.txt lists.")
 def main(first_seed: int, seeds: int, at_once: int, found: Path, without_known: bool) -> None:
-    """Plays seeds and says what broke."""
+    """Play seeds and print rule violations."""
     if seeds == 1:
         sys.exit(_play_here(first_seed, found))
     known = {entry.seed for entry in load(Path.cwd()) if entry.kind is Kind.SOAK} if without_known else set()
@@ -51,7 +56,7 @@
 
 
 def _play_in_subprocess(seed: int, found: Path) -> tuple[int, str]:
-    """Plays a seed in a process of its own; its status, and what it said."""
+    """Plays a seed in its own process; returns exit status and output."""
     command = [sys.executable, "-m", "lab.soak", "--first-seed", str(seed), "--found", str(found)]
     try:
         ran = subprocess.run(
@@ -63,7 +68,7 @@
 
 
 def _play_here(seed: int, found: Path) -> int:
-    """Plays one seed here, and prints its line."""
+    """Plays one seed in this process and prints its result."""
     run = draw(seed)
     played = SoakRunner(run).play()
     records = table(played.rows)
--- a/lab/soak/checks.py
+++ b/lab/soak/checks.py
@@ -1,4 +1,4 @@
-"""What broke in a run of the soak, from its record alone. The bounds are those of the standing terms."""
+"""Finds rule violations of a soak run from its record alone. The bounds are those of the platform terms."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from lab.shutdown import IN_FLIGHT_SECONDS
 from lab.soak.plan import MAX_PAUSE_SECONDS, PLAN_BURST, PLAN_RATE, Run
 
-ANSWER_SLACK_SECONDS = 0.5 + 0.05  # past its time an answer still counts, and each limit on sockets is longer
-DISCONNECT_SLACK_SECONDS = 0.1  # after its client has gone an attempt may begin
-REPORTED_TIME_SLACK_SECONDS = 0.15  # that a backend may be told beyond what the client has left
-DRAIN_GRACE_SECONDS = 0.5 + 0.05  # as the settings say, and each limit on sockets is longer
-DISCOVERY_RECOVERY_SECONDS = 6.0  # after discovery had a change and could be reached
+ANSWER_SLACK_SECONDS = 0.5 + 0.05  # after the deadline; every limit is extended on real sockets
+DISCONNECT_SLACK_SECONDS = 0.1  # in which an attempt may start after its client disconnected
+REPORTED_TIME_SLACK_SECONDS = 0.15  # excess allowed in the time sent to a backend
+DRAIN_GRACE_SECONDS = 0.5 + 0.05  # as configured; every limit is extended on real sockets
+DISCOVERY_RECOVERY_SECONDS = 6.0  # in which an ingress sees a change once discovery is reachable again
 READY_SECONDS = 10.0
 MAX_QUOTA_USE = 1.10  # of an allowance over any 10 s
 
 
 def rule_violations(run: Run, table: pl.DataFrame) -> list[str]:
-    """Every rule that the run broke, a line each; none where all is well."""
+    """One line per rule violation of the run; empty if there are none."""
     return [
         *_unanswered(run, table),
         *_late(table),
@@ -39,7 +39,7 @@
 
 
 def _requests(table: pl.DataFrame) -> pl.DataFrame:
-    """Each request with its connection's end, and when it first came to a backend, if it did."""
+    """Joins each request with the end of its connection and its first arrival at a backend, if any."""
     connections = _rows(table, "connection").select(
         "member", "life", "connection", closed="until", closing="end", begun="detail"
     )
@@ -49,12 +49,11 @@
 
 
 def _unanswered(run: Run, table: pl.DataFrame) -> list[str]:
-    """Requests that were read, and have no whole answer.
+    """Requests that were read and have no complete answer.
 
-    Read is what came to a backend, and what was on a connection that did not end in order. On a connection
-    that ended in order what had not crossed that end counts as read. Not lost is the value that was cut off
-    while it was passed on, and what lay unread behind it; and, beside a crowd, what came on a new connection
-    that was shut unread.
+    A request counts as read if it reached a backend, if its connection did not close in order, or if it was
+    sent too early to cross an orderly close. Exempt are a value that was cut off while it was forwarded, with
+    the unread requests behind it, and, during a crowd, requests on a new connection that was closed unread.
     """
     found = []
     requests = _requests(table).filter((pl.col("end") == "open") & (pl.col("closing") != "left"))
@@ -83,7 +82,7 @@
 
 
 def _late(table: pl.DataFrame) -> list[str]:
-    """Answers after their time, but for what they waited for those before on their connection."""
+    """Answers after their deadline, except for time spent behind earlier answers on the connection."""
     found = []
     before: dict[tuple[int, int, int], float] = {}
     for row in _requests(table).filter(pl.col("end") != "open").iter_rows(named=True):
@@ -113,10 +112,10 @@
 
 
 def _reported_too_much_time(table: pl.DataFrame) -> list[str]:
-    """Backends that were told more than the client had left.
+    """Attempts whose stated time exceeds what the client had left.
 
-    An ingress may be held up for so long as the terms say. Where the soak itself was late to let it go on,
-    what came meanwhile has waited longer than they allow, by what the record has of both signals.
+    The terms allow an ingress to be paused for a limited time. If the soak itself sent SIGCONT late, requests
+    waited longer than that; the excess is taken from the recorded times of both signals.
     """
     asked = _rows(table, "asked").select("ident", "member", "life", sent="t", patience="seconds")
     came = _rows(table, "came").drop("member", "life").join(asked, on="ident")
@@ -132,7 +131,7 @@
 
 
 def _excess_pause(table: pl.DataFrame, request: dict[str, Any]) -> float:
-    """Seconds beyond the terms for which its ingress was held up between the request and its attempt."""
+    """Seconds by which a pause between the request and its attempt exceeded the terms."""
     signals = _rows(table, "signal").filter(
         (pl.col("member") == request["member"]) & (pl.col("life") == request["life"])
     )
@@ -145,7 +144,7 @@
 
 
 def _to_draining_backends(table: pl.DataFrame) -> list[str]:
-    """Requests to a backend that drains, past the grace after which its ingress counts as told."""
+    """Requests to a draining backend, later than the grace period after its ingress counts as notified."""
     found = []
     by_ident = _rows(table, "asked").select("ident", "member", "life")
     came = _rows(table, "came").drop("member", "life").join(by_ident, on="ident")
@@ -164,7 +163,7 @@
 
 
 def _notified_by(table: pl.DataFrame, at: float, member: int, life: int) -> float:
-    """When an ingress counts as told of a change at the latest."""
+    """The latest time at which an ingress counts as notified of a change."""
     begins = _rows(table, "life").filter((pl.col("member") == member) & (pl.col("life") == life))["t"]
     known = max(at, float(begins[0]))
     for silence in _rows(table, "silence").filter(pl.col("member") == member).iter_rows(named=True):
--- a/lab/soak/plan.py
+++ b/lab/soak/plan.py
@@ -1,6 +1,7 @@
-"""What happens in one run of the soak, drawn from its seed. No I/O; the same seed draws the same run.
+"""The plan of one soak run, drawn from its seed. No I/O; the same seed draws the same run.
 
-Times of a life are seconds from its SIGTERM, those of backends and of discovery seconds from the run's begin.
+Times of a process run are seconds from its SIGTERM, those of backends and discovery seconds from the start of
+the run.
 """
 
 from __future__ import annotations
@@ -15,45 +16,44 @@
 MAX_INGRESSES = 4
 BACKENDS = 3
 DEADLINES = (0.3, 0.5, 0.8, 1.2, 1.6, 2.4, 3.0, 4.0, 5.0)  # seconds
-MAX_PAUSE_SECONDS = 0.15  # for which an ingress may be held up, by the standing terms
-RELOAD_SECONDS = 0.2  # in which a file is read after SIGHUP, with a hold-up
-LAST_SEND_SECONDS = 0.01  # before SIGKILL: the last moment at which a client sends
+MAX_PAUSE_SECONDS = 0.15  # longest pause of an ingress that the platform terms allow
+RELOAD_SECONDS = 0.2  # in which a file is read after SIGHUP, including a pause
+LAST_SEND_SECONDS = 0.01  # before SIGKILL, the latest send of a client
 LONG_VALUE_BYTES = 300_000
-CUT_FRACTION = 0.9  # of a long value, after which its connection is cut
-CROWD_SOCKETS = 256  # descriptors of an ingress before a crowd
+CUT_FRACTION = 0.9  # of a long value, then its connection is cut
+CROWD_SOCKETS = 256  # descriptor limit of an ingress that gets a crowd
 CROWD_IDLE, CROWD_AT_ONCE = 140, 200  # connections
-PENDING_LEAD_SECONDS = (
-    0.05  # before the end of accepting, and of serving, at which clients send that wait for both
-)
-PENDING_TENANT = 50  # of these clients
-PLAN_RATE, PLAN_BURST = 4.0, 6.0  # units a second and units of each tenant's quota
+# Pending clients send this long before the end of accepting, and before the end of serving.
+PENDING_LEAD_SECONDS = 0.05
+PENDING_TENANT = 50  # of the pending clients
+PLAN_RATE, PLAN_BURST = 4.0, 6.0  # rate (units a second) and burst (units) of each tenant's quota
 
 
 class Signal(Enum):
-    """What an ingress is sent beside its SIGTERM and SIGKILL."""
+    """Signals that an ingress gets besides its SIGTERM and SIGKILL."""
 
-    RELOAD = "reload"  # SIGHUP after its file has been written anew
-    TERMINATE = "terminate"  # SIGTERM once more
-    HOLD = "hold"  # SIGSTOP, and SIGCONT after the hold-up
+    RELOAD = "reload"  # SIGHUP after its file was rewritten
+    TERMINATE = "terminate"  # another SIGTERM
+    HOLD = "hold"  # SIGSTOP, then SIGCONT after a pause
 
 
 class BackendMode(Enum):
-    """How a backend fails for a while."""
+    """How a backend fails temporarily."""
 
-    SILENT = "silent"  # takes requests and answers none
+    SILENT = "silent"  # reads requests and answers none
     SLOW = "slow"  # answers near the deadline
     LATE = "late"  # answers after it
-    TWICE = "twice"  # a second answer behind each
-    REFUSING = "refusing"  # resets connections as they are made
-    RESETTING = "resetting"  # resets all connections, once
+    TWICE = "twice"  # sends a second answer after each
+    REFUSING = "refusing"  # resets new connections
+    RESETTING = "resetting"  # resets all open connections once
     LONG = "long"  # answers with long values
     CUT = "cut"  # cuts connections near the end of a long value
-    DRAINING = "draining"  # drains by discovery, and is back cold at the end
+    DRAINING = "draining"  # is draining in discovery, then restarts cold
 
 
 @dataclass(slots=True, frozen=True)
 class SignalAt:
-    """A signal. Of a reload: what its file says, and `watched`, the ingress whose list is watched then."""
+    """A signal. A reload also sets the longest deadline and `watched`: whose discovery to follow."""
 
     at: float
     signal: Signal
@@ -72,7 +72,10 @@
 
 @dataclass(slots=True, frozen=True)
 class PlannedClient:
-    """One connection. `leaves_at`: closes then, whatever is open. `stays`: until SIGKILL, ended or not."""
+    """One connection. `disconnects_at`: closes then, even with requests open.
+
+    `open_until_kill`: keeps its side open until SIGKILL, even if the ingress closes.
+    """
 
     connects_at: float
     sends: tuple[PlannedSend, ...]
@@ -82,7 +85,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """A system call that fails now and then, as lab.faulty_calls takes it; seconds from the start."""
+    """An injected system call failure in the form of lab.faulty_calls; seconds from the process start."""
 
     call: str
     error: str
@@ -93,7 +96,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProcessRun:
-    """One life of an ingress. `serves`: seconds from its being ready to SIGTERM."""
+    """One process run of an ingress. `serving_seconds`: from ready to SIGTERM."""
 
     serving_seconds: float
     signals: tuple[SignalAt, ...]
@@ -101,14 +104,14 @@
     fault: Fault | None
 
     def counted_deadline(self, longest_deadline: float) -> float:
-        """The longest deadline that SIGKILL goes by, the worse one for the ingress."""
+        """The longest deadline that determines SIGKILL: with reloads, the smallest of those configured."""
         reloads = [one.longest_deadline for one in self.signals if one.signal is Signal.RELOAD]
         return min([longest_deadline, *reloads])
 
 
 @dataclass(slots=True, frozen=True)
 class BackendFault:
-    """A backend fails in one way for a while."""
+    """A backend fault from `begin` to `end`."""
 
     backend: int
     mode: BackendMode
@@ -118,7 +121,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryOutage:
-    """An ingress hears nothing from discovery. `refused`: its connections are reset, not only silent."""
+    """An ingress can't reach discovery. `refused`: connections are reset instead of blackholed."""
 
     ingress: int
     begin: float
@@ -128,30 +131,30 @@
 
 @dataclass(slots=True, frozen=True)
 class Run:
-    """A whole run. `lives`: of each ingress, in their order."""
+    """A whole run. `process_runs`: in order, by ingress."""
 
     seed: int
     look_deadline: float
     change_deadline: float
     crowd: bool
-    pending_at_kill: bool  # backends hang on requests of a tenant whose clients wait until SIGKILL
+    pending_at_kill: bool  # backends never answer one tenant, whose clients wait until SIGKILL
     process_runs: tuple[tuple[ProcessRun, ...], ...]
     backends: tuple[BackendFault, ...]
     outages: tuple[DiscoveryOutage, ...]
 
     @property
     def ingresses(self) -> int:
-        """How many there are."""
+        """The number of ingresses."""
         return len(self.process_runs)
 
     @property
     def longest_deadline(self) -> float:
-        """Seconds."""
+        """The longest deadline in seconds."""
         return max(self.look_deadline, self.change_deadline)
 
 
 def draw(seed: int) -> Run:
-    """The run of a seed."""
+    """Draws the run of a seed."""
     rng = random.Random(f"soak {seed}")
     look_deadline, change_deadline = rng.choice(DEADLINES), rng.choice(DEADLINES)
     longest = max(look_deadline, change_deadline)
@@ -170,7 +173,7 @@
     )
     backends = tuple(_draw_backend_fault(rng, span) for _ in range(rng.randint(2, 4)))
     outages = tuple(_draw_outage(rng, number, span) for number in range(ingresses) if rng.random() < 0.3)
-    if pending_at_kill:  # what is drawn for other seeds stays as it is
+    if pending_at_kill:  # applied after all draws, so that the runs of other seeds stay the same
         process_runs = tuple(
             tuple(_with_pending_clients(process_run, longest) for process_run in of) for of in process_runs
         )
@@ -201,14 +204,14 @@
         elif signal is Signal.TERMINATE and at < 0:
             continue  # the first one is the life's own
         elif signal is Signal.HOLD and any(one.signal is Signal.HOLD for one in signals):
-            continue  # two together would be a longer one
+            continue  # two pauses could overlap into a longer one
         else:
             signals.append(SignalAt(at, signal))
     return _without_unread_files(sorted(signals, key=lambda one: one.at))
 
 
 def _without_unread_files(signals: list[SignalAt]) -> tuple[SignalAt, ...]:
-    """Leaves out reloads soon behind another: a file replaced before it is read was never in force."""
+    """Drops reloads that follow another too soon: a file replaced before it is read never takes effect."""
     kept: list[SignalAt] = []
     for one in signals:
         reloads = [other.at for other in kept if other.signal is Signal.RELOAD]
@@ -218,7 +221,7 @@
 
 
 def _draw_clients(rng: random.Random, begin: float, end: float) -> list[PlannedClient]:
-    """Steady ones, some that pipeline, some that rest, some that leave, and some that come anew."""
+    """Draws clients: steady, pipelining, mostly idle, disconnecting early, and connecting late."""
     clients = []
     for _ in range(3):
         every = rng.uniform(0.15, 0.4)
@@ -243,10 +246,10 @@
 
 
 def _with_pending_clients(process_run: ProcessRun, longest: float) -> ProcessRun:
-    """Adds clients that are owed an answer at the last moment, and keep their connection beyond it.
+    """Adds clients that still wait for an answer at SIGKILL and keep their connection open until then.
 
-    The first request keeps the connection from being ended as an idle one; the second comes just before the
-    end of serving, so that its time is over after the last moment.
+    The first request keeps the connection from being closed as idle; the second is sent just before the end
+    of serving, so that its deadline passes only after the ingress must have answered everything.
     """
     schedule = schedule_for(process_run.counted_deadline(longest))
     pending = []
@@ -258,7 +261,7 @@
 
 
 def _draw_crowd(rng: random.Random, begin: float, end: float) -> list[PlannedClient]:
-    """Idle connections near the limit of descriptors, and hundreds that come at once."""
+    """Draws idle connections near the descriptor limit, and hundreds that connect at once."""
     idle = [PlannedClient(begin + n * 0.001, ()) for n in range(CROWD_IDLE)]
     at = rng.uniform(begin + 0.4, -0.1)
     many = [PlannedClient(at, _sends(rng, [at + 0.02])) for _ in range(CROWD_AT_ONCE)]
@@ -270,7 +273,7 @@
 
 
 def _sends(rng: random.Random, times: list[float]) -> tuple[PlannedSend, ...]:
-    """Of two tenants near their limits and many others within theirs; a third may not be repeated."""
+    """Draws requests of two tenants near their quota and many others well within it; a third are unsafe."""
     sends = []
     for at in sorted(times):
         tenant = rng.randrange(2) if rng.random() < 0.3 else 100 + rng.randrange(200)
--- a/lab/soak/play.py
+++ b/lab/soak/play.py
@@ -1,4 +1,4 @@
-"""Carries a run of the soak out: real ingresses, backends and discovery on loopback, clients and signals."""
+"""Executes a soak run: real ingresses, backends and discovery on loopback, with clients and signals."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
 from lab.soak.record import Row
 
 BACKEND_WORK_SECONDS, BACKEND_CORES = 0.002, 4.0
-PAUSE_SECONDS = MAX_PAUSE_SECONDS - 0.01  # so that a late SIGCONT is not yet more than the terms allow
+PAUSE_SECONDS = MAX_PAUSE_SECONDS - 0.01  # leaves room for a late SIGCONT within the allowed pause
 LATE_BY_SECONDS = 0.3  # of an answer after the deadline
-STARVATION_POLL_SECONDS = 0.01  # between looks at whether the soak itself is held up
-MIN_STARVATION_SECONDS = 0.02  # of a hold-up that are worth a row
+STARVATION_POLL_SECONDS = 0.01  # between checks of whether the soak itself is scheduled
+MIN_STARVATION_SECONDS = 0.02  # shortest delay that is recorded
 IDS_PER_PROCESS_RUN = 100_000
 SIGNAL_NUMBERS = {Signal.RELOAD: signal.SIGHUP, Signal.TERMINATE: signal.SIGTERM, Signal.HOLD: signal.SIGSTOP}
 SOCKETS = 1024
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class SoakResult:
-    """What is kept of a run: rows for the record, and the log of each life."""
+    """The result of a run: rows for the record, and the log of each process run."""
 
     rows: list[Row]
     logs: list[str]
@@ -64,7 +64,7 @@
         self.over = threading.Event()
 
     def play(self) -> SoakResult:
-        """Plays it whole."""
+        """Plays the whole run."""
         plan = self.plan
         sockets = CROWD_SOCKETS if plan.crowd else SOCKETS
         deployment = Deployment(plan.look_deadline, plan.change_deadline, PLAN_RATE, PLAN_BURST, sockets)
@@ -102,10 +102,10 @@
         return SoakResult(self.rows, self.logs)
 
     def now(self) -> float:
-        """Seconds since the begin."""
+        """Seconds since the run began."""
         return time.monotonic() - self.begin
 
-    # One ingress, life after life.
+    # The process runs of one ingress.
 
     def _run_ingress(self, site: Site, member: int) -> None:
         for number, life in enumerate(self.plan.process_runs[member]):
@@ -120,7 +120,7 @@
             self.logs += [f"n{member} life {number} {line}" for line in list(ingress.log)]
 
     def _start(self, site: Site, member: int, life: ProcessRun, first: bool) -> None:
-        if first:  # the site has started it without faults
+        if first:  # the site started it without faults
             site.kill(member)
         module, environment = "standflow", None
         if (fault := life.fault) is not None:
@@ -174,7 +174,7 @@
         return self.plan.look_deadline if safe else self.plan.change_deadline
 
     def _write_settings(self, site: Site, member: int, one: SignalAt) -> None:
-        """Other deadlines, and the list of another ingress to watch."""
+        """Rewrites the file with other deadlines and the discovery to follow."""
         part = one.longest_deadline / self.plan.longest_deadline
         deployment = Deployment(
             self.plan.look_deadline * part,
@@ -244,7 +244,7 @@
         assert site.streams is not None
         site.streams.heal()
 
-    # What is kept.
+    # Recording.
 
     def _record_process_run(
         self, member: int, number: int, started: float, ready: float, ended: Shutdown, status: str
@@ -316,7 +316,7 @@
                 )
 
     def _watch_for_starvation(self) -> None:
-        """Notes when the soak itself was held up: its clients and backends are late then."""
+        """Records when the soak itself was not scheduled; its clients and backends are then late."""
         last = self.now()
         while not self.over.wait(STARVATION_POLL_SECONDS):
             now = self.now()
@@ -327,7 +327,7 @@
 
 
 def _outcome_of(answer: bytes, answered_at: float | None) -> str:
-    """What came of a request, by its answer without framing."""
+    """The outcome of a request, from its answer without framing."""
     if answered_at is None:
         return "open"
     if answer.startswith(b"-BUSY"):
--- a/lab/soak/record.py
+++ b/lab/soak/record.py
@@ -1,9 +1,9 @@
-"""The columnar record of a run: all that the checks read. Times are seconds since the run's begin.
+"""The columnar record of a run, the only input of the checks. Times are seconds since the start of the run.
 
-A row is a request (`asked`), a connection of a client (`connection`), a request that came whole to a backend
-(`came`), a life of an ingress (`life`), a signal (`signal`), a trouble of a backend (`backend`), a word of
-discovery (`drain`, `back`), a time without discovery (`silence`), or a moment at which the soak's own clients
-or the ingress had no processor for long (`starved`).
+A row is a request (`asked`), a client connection (`connection`), a complete request received by a backend
+(`came`), a process run of an ingress (`life`), a signal (`signal`), a backend fault (`backend`), a phase
+change in discovery (`drain`, `back`), a discovery outage (`silence`), or a time during which the soak's own
+threads were not scheduled (`starved`).
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 SCHEMA = {
     "what": pl.String,
     "t": pl.Float64,
-    "until": pl.Float64,  # of the answer, the connection's end, the life's end, a backend's reading
+    "until": pl.Float64,  # time of the answer, of the close, of the exit, or of the backend's read
     "member": pl.Int64,
     "life": pl.Int64,
     "connection": pl.Int64,
     "ident": pl.String,
     "tenant": pl.Int64,
     "safe": pl.Boolean,
-    "seconds": pl.Float64,  # that the client waits, or that a backend was told
+    "seconds": pl.Float64,  # the client's timeout, or the remaining time sent to a backend
     "end": pl.String,
     "backend": pl.Int64,
     "detail": pl.String,
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class Row:
-    """One row; see the module's page for what is set where."""
+    """One row; the module docstring lists the kinds."""
 
     what: str
     t: float
@@ -49,6 +49,6 @@
 
 
 def table(rows: list[Row]) -> pl.DataFrame:
-    """The rows by their time."""
+    """Builds the table, ordered by time."""
     values = [[getattr(row, name) for name in SCHEMA] for row in rows]
     return pl.DataFrame(values, schema=SCHEMA, orient="row").sort("t", maintain_order=True)
--- a/lab/soak/timeline.py
+++ b/lab/soak/timeline.py
@@ -1,4 +1,4 @@
-"""A picture of a run of the soak: requests by how they ended, lives, signals and troubles over time."""
+"""Plots a soak run: requests by outcome, process runs, signals and backend faults over time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def draw(table: pl.DataFrame, title: str, path: Path) -> None:
-    """One band for each life of an ingress, and one for each backend below them."""
+    """Draws one band per process run of an ingress, and below them one per backend."""
     lives = table.filter(pl.col("what") == "life").sort("member", "life")
     places = {(row["member"], row["life"]): n for n, row in enumerate(lives.iter_rows(named=True))}
     figure, axes = plt.subplots(figsize=(12, 2 + 0.5 * (len(places) + 3)))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: the same seed draws the same run, and each check fails on a record with its fault planted."""
+"""The soak test: the same seed draws the same run, and each check detects a record with its violation."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 def test_the_same_seed_draws_the_same_run_and_another_another() -> None:
     for seed in range(60):
         assert draw(seed) == draw(seed)
-        random.seed(seed)  # whatever else is drawn
+        random.seed(seed)  # the global generator has no influence
     assert len({draw(seed) for seed in range(60)}) == 60
 
 
@@ -84,7 +84,7 @@
         end = kill_time(one.counted_deadline(run.longest_deadline))
         sends = [send.at for client in one.clients for send in client.sends]
         assert max(sends) <= end
-        assert max(sends) > end - 0.1  # clients go on until SIGKILL
+        assert max(sends) > end - 0.1  # clients keep sending until SIGKILL
         assert sum(signal.signal is Signal.HOLD for signal in one.signals) <= 1
         reloads = [signal.at for signal in one.signals if signal.signal is Signal.RELOAD]
         assert all(later - sooner > 0.2 for sooner, later in pairwise(reloads))
@@ -93,7 +93,7 @@
 
 
 def test_in_a_quarter_of_the_seeds_something_is_owed_at_the_last_moment() -> None:
-    # An end that comes too late was not noticed where all connections had drained long before.
+    # With all connections drained early, an ingress that ended too late went unnoticed.
     runs = [draw(seed) for seed in range(200)]
     assert sum(run.pending_at_kill for run in runs) == len(runs) / 4
     for run in runs:
@@ -130,7 +130,7 @@
 def test_of_a_value_that_is_cut_off_the_client_can_tell_and_what_was_read_behind_it_is_lost() -> None:
     cut = connection(end="closed", until=3.0, begun="begun")
     rows = [life(), cut, asked("a", 1.0, None), came("a", 1.01), asked("b", 1.1, None)]
-    assert faults(*rows) == []  # the second lay unread
+    assert faults(*rows) == []  # the second was not read
     assert len(faults(*rows, came("b", 1.11))) == 1
 
 
@@ -139,7 +139,7 @@
     assert len(faults(*shut)) == 1
     assert faults(*shut, run=CROWD) == []
     assert len(faults(*shut, came("a", 1.01), run=CROWD)) == 1
-    assert len(faults(*shut, asked("b", 0.9, 0.01), run=CROWD)) == 1  # no new one
+    assert len(faults(*shut, asked("b", 0.9, 0.01), run=CROWD)) == 1  # not a new connection
 
 
 def test_a_late_answer_is_found_but_for_what_it_waits_for_those_before() -> None:
