--- a/lab/box.py
+++ b/lab/box.py
@@ -167,7 +167,7 @@
             return self.cores
         return self.cores * (self.cold_from + (1 - self.cold_from) * max(0.0, age) / self.cold_time)
 
-    def _spend(self, what: str, cpu: float, done: float = 0.0) -> None:
+    def _use_cpu(self, what: str, cpu: float, done: float = 0.0) -> None:
         """Blocks until the queued work is done; `done` seconds of it have already elapsed in real time."""
         now = time.time()
         with self.lock:
@@ -219,7 +219,7 @@
         except (OSError, CutError):
             with self.lock:
                 self.counts.failed += 1
-            self._spend("failed", wire.cpu, wire.cpu)
+            self._use_cpu("failed", wire.cpu, wire.cpu)
             raise
         if mode.stall_at is not None:
             with contextlib.suppress(OSError):
@@ -231,7 +231,7 @@
                 self.counts.resumed += 1
             else:
                 self.counts.full += 1
-        self._spend("resumed" if resumed else "full", wire.cpu, wire.cpu)
+        self._use_cpu("resumed" if resumed else "full", wire.cpu, wire.cpu)
         return True
 
     def _serve(self, wire: Wire, mode: Mode) -> None:
@@ -246,7 +246,7 @@
                 parts, size = found
                 data = data[size:]
                 answer = self._answer(parts, time.monotonic() - seconds_since_received(wire.sock))
-                if mode.silent or self._hangs(parts):
+                if mode.silent or self._is_hung(parts):
                     continue
                 if mode.alert:
                     wire.write(answer[:5])
@@ -258,7 +258,7 @@
                     wire.close(mode.notify)
                     return
 
-    def _hangs(self, parts: list[bytes]) -> bool:
+    def _is_hung(self, parts: list[bytes]) -> bool:
         return bool(self.hung_tenants) and parts[0] != b"PING" and int(parts[1], 16) in self.hung_tenants
 
     def _answer(self, parts: list[bytes], came_at: float) -> bytes:
@@ -273,7 +273,7 @@
             if parts[0] == b"Q.DO":
                 self.counts.changes[ident] += 1
         if self.work:
-            self._spend("request", self.work)
+            self._use_cpu("request", self.work)
         if self.delay:
             time.sleep(self.delay)
         value = (b"ran " + parts[2]).ljust(self.value, b".")
@@ -291,8 +291,8 @@
 
 def _time_left(options: bytes) -> float:
     """Seconds that the ingress will still wait, from the request's options; 0 if not stated."""
-    said = dict(option.partition(b"=")[::2] for option in options.split(b","))
-    return int(said.get(b"d", b"0")) / 1000
+    fields = dict(option.partition(b"=")[::2] for option in options.split(b","))
+    return int(fields.get(b"d", b"0")) / 1000
 
 
 def command(data: bytes) -> tuple[list[bytes], int] | None:
--- a/lab/callers.py
+++ b/lab/callers.py
@@ -84,15 +84,15 @@
             serial += 1
             safe = rng.random() >= self.changes
             ident = f"{self.seed:02x}n{self.number}l{connection}s{serial}"
-            customer = b"%016x" % (self.number * 1000 + rng.randrange(20))
+            tenant = b"%016x" % (self.number * 1000 + rng.randrange(20))
             kind = b"look" if safe else b"change"
-            said = b"c=%b,t=%b,d=3000,units=1,spread=%d,first=%d" % (
+            options = b"c=%b,t=%b,d=3000,units=1,spread=%d,first=%d" % (
                 kind,
                 self.plan.encode(),
                 self.spread,
                 self.number,
             )
-            text = command([b"Q.ASK" if safe else b"Q.DO", customer, ident.encode(), said])
+            text = command([b"Q.ASK" if safe else b"Q.DO", tenant, ident.encode(), options])
             at, began, answer = time.time(), time.monotonic(), b""
             again = False
             for _ in range(2):
--- a/lab/counter.py
+++ b/lab/counter.py
@@ -51,7 +51,7 @@
         with self.lock:
             self.numbers.clear()
 
-    def add(self, name: str, amount: float, life: float) -> tuple[float | None, float]:
+    def add(self, name: str, amount: float, ttl: float) -> tuple[float | None, float]:
         """The total after a call, or None if it is rejected, and the seconds until the call is done."""
         now = time.monotonic()
         with self.lock:
@@ -63,11 +63,11 @@
                 self.rejected += 1
                 return None, 0.0
             self.free_at[part] = begin + 1 / self.per_second
-            number = self.numbers.get(name)
-            if number is None or number.until <= now:
-                number = self.numbers[name] = StoredTotal(0.0, now + min(life, MAX_TTL_SECONDS))
-            number.total += amount
-            return number.total, self.free_at[part] - now
+            stored = self.numbers.get(name)
+            if stored is None or stored.until <= now:
+                stored = self.numbers[name] = StoredTotal(0.0, now + min(ttl, MAX_TTL_SECONDS))
+            stored.total += amount
+            return stored.total, self.free_at[part] - now
 
 
 @dataclass
@@ -180,14 +180,14 @@
             url = urlsplit(target.decode())
             name = url.path.removeprefix("/v1/count/")
             asked = parse_qs(url.query)
-            amount, life = float(asked["add"][0]), int(asked["ttl_ms"][0]) / 1000
-            if method != b"POST" or not 1 <= len(name) <= 64 or life <= 0 or abs(amount) > 1e9:
+            amount, ttl = float(asked["add"][0]), int(asked["ttl_ms"][0]) / 1000
+            if method != b"POST" or not 1 <= len(name) <= 64 or ttl <= 0 or abs(amount) > 1e9:
                 raise ValueError
         except (ValueError, KeyError):
             return now, reply(b"400 Bad Request", b"")
         if self.store.part(name) in faults.cut:
             return now, b""
-        total, took = self.store.add(name, amount, life)
+        total, took = self.store.add(name, amount, ttl)
         at = now + took + faults.delay
         if total is None:
             return at, reply(b"503 Service Unavailable", b"")
--- a/lab/datagrams.py
+++ b/lab/datagrams.py
@@ -37,7 +37,7 @@
         self.selector = selectors.DefaultSelector()
         # Members listen on a loopback host of this fleet alone. Everything else binds to 127.0.0.1, so a port
         # reserved here is free once its socket is closed, and stays free while its member is dead.
-        number, held = next(INSTANCE_SERIALS), []
+        number, reserved = next(INSTANCE_SERIALS), []
         host = f"127.{1 + os.getpid() // 200 % 200}.{1 + os.getpid() % 200}.{1 + number % 250}"
         for at in range(members):
             for peer in range(members):
@@ -45,14 +45,14 @@
                 sock.bind((host if at == peer else "127.0.0.1", 0))
                 if at == peer:
                     self.real[at] = sock.getsockname()
-                    held.append(sock)
+                    reserved.append(sock)
                     continue
                 self.socks[at, peer] = sock
                 self.selector.register(sock, selectors.EVENT_READ, (at, peer))
-        for sock in held:
+        for sock in reserved:
             sock.close()
         self.open = True
-        self.thread = threading.Thread(target=self._pass, daemon=True)
+        self.thread = threading.Thread(target=self._forward_loop, daemon=True)
         self.thread.start()
 
     def __enter__(self) -> DatagramProxy:
@@ -78,14 +78,14 @@
         pairs = self.socks if sides else ()
         self.blocked = {(a, b) for a, b in pairs if of.get(a) != of.get(b)}
 
-    def _pass(self) -> None:
+    def _forward_loop(self) -> None:
         while self.open:
             due = self.waiting[0][0] - time.monotonic() if self.waiting else 0.1
             for key, _ in self.selector.select(max(0.0, min(0.1, due))):
                 sender, peer = key.data
                 content = self.socks[sender, peer].recv(2048)
-                gone = {sender, peer} & self.cut or (sender, peer) in self.blocked
-                if gone or self.rng.random() < self.loss:
+                unreachable = {sender, peer} & self.cut or (sender, peer) in self.blocked
+                if unreachable or self.rng.random() < self.loss:
                     continue
                 if self.rng.random() < self.noise:
                     at = self.rng.randrange(max(1, len(content)))
--- a/lab/fleet/record.py
+++ b/lab/fleet/record.py
@@ -69,12 +69,12 @@
         killed = ends.filter(
             (pl.col("member") == row["member"]) & pl.col("gone").is_between(row["t"] - 0.1, until + 0.3)
         )
-        still = held.filter(
+        paused = held.filter(
             (pl.col("member") == row["member"])
             & (pl.col("gone") <= until)
             & (pl.col("gone") + pl.col("for_") >= row["t"])
         )
-        count += killed.is_empty() and still.is_empty()
+        count += killed.is_empty() and paused.is_empty()
     return count
 
 
@@ -90,9 +90,9 @@
 
 def requests_to_draining(table: pl.DataFrame) -> int:
     """Requests that reached a box between its drain and its return, both as published by discovery."""
-    count, words = 0, table.filter((pl.col("what") == "step") & pl.col("state").is_in(["drain", "back"]))
-    for row in words.filter(pl.col("state") == "drain").iter_rows(named=True):
-        of = words.filter((pl.col("member") == row["member"]) & (pl.col("state") == "back"))
+    count, phases = 0, table.filter((pl.col("what") == "step") & pl.col("state").is_in(["drain", "back"]))
+    for row in phases.filter(pl.col("state") == "drain").iter_rows(named=True):
+        of = phases.filter((pl.col("member") == row["member"]) & (pl.col("state") == "back"))
         back = of.filter(pl.col("t") > row["t"])["t"].min()
         until = float(back) if isinstance(back, float) else float("inf")
         came = table.filter((pl.col("what") == "came") & (pl.col("place") == row["member"]))
--- a/lab/fleet/simulated.py
+++ b/lab/fleet/simulated.py
@@ -31,15 +31,15 @@
         self.blocked: Callable[[int, int], bool] = lambda sender, to: False
         self.again = 0.0  # share of datagrams duplicated, the copy delayed
         self.taken: dict[int, list[float]] = {}  # times of accepted datagrams, by member
-        self.lives = 0
+        self.start_count = 0
         if start:
             for member_id in range(size):
                 self.start(member_id)
 
     def start(self, member_id: int, at: float | None = None) -> Membership:
         """Starts or restarts a member with no known peers."""
-        self.lives += 1
-        boot_time_ms = round((self.now if at is None else at) * 1000) + self.lives
+        self.start_count += 1
+        boot_time_ms = round((self.now if at is None else at) * 1000) + self.start_count
         rng = random.Random(self.rng.random())
         settings = MemberSettings(member_id, self.size, boot_time_ms, updates_per_datagram(False))
         membership = Membership(settings, self.now, rng)
--- a/lab/fleet/site.py
+++ b/lab/fleet/site.py
@@ -238,8 +238,8 @@
         elif step.what == "heal":
             self.network.partition()
         elif step.what in ("kill", "start", "stop"):
-            there = [m for m in step.members if (m in self.live) != (step.what == "start")]
-            getattr(self, step.what)(*there)
+            affected = [m for m in step.members if (m in self.live) != (step.what == "start")]
+            getattr(self, step.what)(*affected)
         elif step.what == "hold":
             for ingress in [self.live[m] for m in step.members if m in self.live]:
                 ingress.signal(signal.SIGSTOP)
@@ -304,16 +304,16 @@
             for tenant, times in self.tenants().items()
             for at in _arrivals(rng, span, times * RATE / self.size)
         )
-        socks: dict[int, socket.socket] = {}
+        connections: dict[int, socket.socket] = {}
         began = time.monotonic()
         for serial, (at, tenant) in enumerate(due):
             time.sleep(max(0.0, began + at - time.monotonic()))
             member = self._choose_member(number, rng)
             ident, safe = f"{self.seed:x}{span_name}n{number}s{serial}", rng.random() < 0.8
             sent, begun = self.now(), time.monotonic()
-            end = self._send_request(socks, member, tenant, ident, safe)
+            end = self._send_request(connections, member, tenant, ident, safe)
             self.asked.append(RequestRecord(sent, tenant, member, ident, safe, end, time.monotonic() - begun))
-        for sock in socks.values():
+        for sock in connections.values():
             sock.close()
 
     def _choose_member(self, number: int, rng: random.Random) -> int:
@@ -324,7 +324,7 @@
         return rng.choice([m for m in range(self.size) if m not in self.down_since] or [number])
 
     def _send_request(
-        self, socks: dict[int, socket.socket], member: int, tenant: str, ident: str, safe: bool
+        self, connections: dict[int, socket.socket], member: int, tenant: str, ident: str, safe: bool
     ) -> str:
         options = b"c=%b,t=plain,d=%d,units=1,spread=%d,first=0" % (
             b"look" if safe else b"change",
@@ -333,24 +333,24 @@
         )
         name = b"Q.ASK" if safe else b"Q.DO"
         text = command([name, b"%016x" % crc32(tenant.encode()), ident.encode(), options])
-        if member in socks and select.select([socks[member]], [], [], 0)[0]:
-            socks.pop(member).close()  # closed while idle: reconnects before sending
-        for kept in (True, False) if member in socks else (False,):
+        if member in connections and select.select([connections[member]], [], [], 0)[0]:
+            connections.pop(member).close()  # closed while idle: reconnects before sending
+        for reused in (True, False) if member in connections else (False,):
             try:
-                if not kept:
-                    socks[member] = socket.create_connection(self.addresses[member], 1.0)
-                    socks[member].settimeout(DEADLINE + 1.0)
-                    socks[member].setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                socks[member].sendall(text)
-                return reply_outcome(read(socks[member]))
+                if not reused:
+                    connections[member] = socket.create_connection(self.addresses[member], 1.0)
+                    connections[member].settimeout(DEADLINE + 1.0)
+                    connections[member].setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                connections[member].sendall(text)
+                return reply_outcome(read(connections[member]))
             except OSError as error:
-                if member in socks:
-                    socks.pop(member).close()
+                if member in connections:
+                    connections.pop(member).close()
                 if isinstance(error, ConnectionRefusedError):
                     return "down"
                 # The request crossed a close between two commands: it is sent once more on a new connection.
                 crossed = isinstance(error, ClosedWithoutReplyError) and member not in self.killed
-                if not kept or not crossed:
+                if not reused or not crossed:
                     return "lost"
         return "lost"
 
--- a/lab/quotas.py
+++ b/lab/quotas.py
@@ -96,10 +96,10 @@
 
 def _ideal(tries: Sequence[TenantRequest], rate: float, burst: float) -> float:
     """Units that the ideal bucket admits."""
-    room, at, let_in = burst, tries[0].at, 0.0
+    available, at, admitted = burst, tries[0].at, 0.0
     for one in tries:
-        room, at = min(burst, room + (one.at - at) * rate), one.at
-        if one.units <= room:
-            room -= one.units
-            let_in += one.units
-    return let_in
+        available, at = min(burst, available + (one.at - at) * rate), one.at
+        if one.units <= available:
+            available -= one.units
+            admitted += one.units
+    return admitted
--- a/lab/shutdown.py
+++ b/lab/shutdown.py
@@ -117,13 +117,13 @@
     `extend_by_starvation`: delays SIGKILL by the time that the process waited for a CPU. `first_serial`:
     request ids count up from it; `spread`: ingresses per tenant.
     """
-    play = _Play(address, clients, wait, first_serial, spread)
+    loop = _ClientLoop(address, clients, wait, first_serial, spread)
     begin = min([client.connects_at for client in clients] + [0.0])
-    play.zero = time.monotonic() - begin
+    loop.origin = time.monotonic() - begin
     due = sorted([(0.0, int(signal.SIGTERM)), *signals])
     kill_at, ended_at, terminated = kill_time(longest_deadline), None, 0.0
     starved = run_queue_wait_seconds(process.pid)
-    while (now := play.now()) < kill_at + extend_by_starvation * (
+    while (now := loop.now()) < kill_at + extend_by_starvation * (
         run_queue_wait_seconds(process.pid) - starved
     ):
         while due and due[0][0] <= now:
@@ -132,18 +132,18 @@
             process.send_signal(number)
             # Sent late, or the process was stopped for longer than planned.
             if number == signal.SIGCONT or at == 0.0:
-                kill_at += play.now() - at
+                kill_at += loop.now() - at
             if at == 0.0:
-                terminated = play.now() + play.zero
-        play.step(0.002)
+                terminated = loop.now() + loop.origin
+        loop.step(0.002)
         if ended_at is None and now > 0 and process.poll() is not None:
-            ended_at = play.now()
+            ended_at = loop.now()
     process.kill()
-    killed_at = play.now()
+    killed_at = loop.now()
     process.wait()
-    while play.now() < killed_at + READ_AFTER_KILL_SECONDS:
-        play.read(0.01)
-    play.close()
+    while loop.now() < killed_at + READ_AFTER_KILL_SECONDS:
+        loop.read(0.01)
+    loop.close()
     everything = [sent for client in clients for sent in client.sent]
     lost = [sent for client in clients for sent in client.sent if _lost(client, sent, arrived)]
     reset = sum(client.ended_by == "reset" and (client.ended_at or 0) < kill_at for client in clients)
@@ -157,24 +157,26 @@
     return not in_order or sent.at < (client.ended_at or 0.0) - IN_FLIGHT_SECONDS or sent.ident in arrived
 
 
-class _Play:
+class _ClientLoop:
     """Event loop that runs all clients on one thread."""
 
     def __init__(
         self, address: tuple[str, int], clients: list[Client], wait: float, first_serial: int, spread: int
     ) -> None:
         self.address, self.clients, self.wait, self.spread = address, clients, wait, spread
-        self.zero = 0.0
+        self.origin = 0.0
         self.serial = first_serial
         self.selector = selectors.DefaultSelector()
-        self.kept: list[socket.socket] = []  # closed by the ingress, of clients with open_until_kill
+        self.closed_by_ingress: list[
+            socket.socket
+        ] = []  # closed by the ingress, of clients with open_until_kill
         self.due: list[tuple[float, int, Callable[[], None]]] = []  # a heap
         self.order = itertools.count()  # tie-breaker for equal times
         for client in clients:
-            self._plan(client)
+            self._schedule_client(client)
 
     def now(self) -> float:
-        return time.monotonic() - self.zero
+        return time.monotonic() - self.origin
 
     def step(self, pause: float) -> None:
         """Performs the actions that are due, then reads what was received."""
@@ -183,20 +185,20 @@
             act()
         self.read(pause)
 
-    def _plan(self, client: Client) -> None:
+    def _schedule_client(self, client: Client) -> None:
         """Schedules all actions of a client, so that idle clients cost nothing per step."""
-        self._plan_at(client.connects_at, lambda: self._connect(client))
+        self._schedule(client.connects_at, lambda: self._connect(client))
         for send in client.sends:
-            self._plan_at(max(send.at, client.connects_at), lambda send=send: self._send(client, send))  # type: ignore[misc]
+            self._schedule(max(send.at, client.connects_at), lambda send=send: self._send(client, send))  # type: ignore[misc]
         if client.disconnects_at is not None:
-            self._plan_at(client.disconnects_at, lambda: self._leave(client))
+            self._schedule(client.disconnects_at, lambda: self._disconnect(client))
 
-    def _plan_at(self, at: float, act: Callable[[], None]) -> None:
+    def _schedule(self, at: float, act: Callable[[], None]) -> None:
         heapq.heappush(self.due, (at, next(self.order), act))
 
-    def _leave(self, client: Client) -> None:
+    def _disconnect(self, client: Client) -> None:
         if client.sock is not None:
-            self._ended(client, "left")
+            self._close(client, "left")
 
     def _connect(self, client: Client) -> None:
         try:
@@ -223,7 +225,7 @@
         try:
             client.sock.sendall(command(parts))
         except OSError:
-            self._ended(client, "reset")
+            self._close(client, "reset")
             return
         at = self.now()  # a request's deadline counts from its last byte
         client.sent.append(Sent(ident, safe, at, tenant, timeout))
@@ -238,10 +240,10 @@
             except BlockingIOError:
                 continue
             except OSError:
-                self._ended(client, "reset")
+                self._close(client, "reset")
                 continue
             if not data:
-                self._ended(client, "closed")
+                self._close(client, "closed")
                 continue
             client.data += data
             self._answers(client)
@@ -261,12 +263,12 @@
                 line, rest = rest[:size], rest[size + 2 :]
             client.data, sent.answer, sent.answered_at = rest, line, self.now()
 
-    def _ended(self, client: Client, how: str) -> None:
+    def _close(self, client: Client, how: str) -> None:
         sock, client.sock = client.sock, None
         if sock is not None:
             self.selector.unregister(sock)
             if client.open_until_kill and how == "closed":
-                self.kept.append(sock)
+                self.closed_by_ingress.append(sock)
             else:
                 with contextlib.suppress(OSError):
                     sock.close()
@@ -275,7 +277,7 @@
     def close(self) -> None:
         for client in self.clients:
             if client.sock is not None:
-                self._ended(client, "open")
-        for sock in self.kept:
+                self._close(client, "open")
+        for sock in self.closed_by_ingress:
             sock.close()
         self.selector.close()
--- a/lab/soak/__main__.py
+++ b/lab/soak/__main__.py
@@ -46,11 +46,11 @@
     began = time.monotonic()
     with ThreadPoolExecutor(at_once) as pool:
         failed = 0
-        for number, (status, said) in enumerate(
+        for number, (status, output) in enumerate(
             pool.map(lambda seed: _play_in_subprocess(seed, found), numbers), 1
         ):
             failed += status != 0
-            click.echo(f"[{number}/{len(numbers)}, {time.monotonic() - began:.0f} s] {said.rstrip()}")
+            click.echo(f"[{number}/{len(numbers)}, {time.monotonic() - began:.0f} s] {output.rstrip()}")
     click.echo(f"{len(numbers) - failed} of {len(numbers)} seeds from {first_seed} on held, {failed} failed")
     sys.exit(bool(failed))
 
--- a/lab/soak/checks.py
+++ b/lab/soak/checks.py
@@ -162,9 +162,9 @@
     return found
 
 
-def _notified_by(table: pl.DataFrame, at: float, member: int, life: int) -> float:
+def _notified_by(table: pl.DataFrame, at: float, member: int, run_number: int) -> float:
     """The latest time at which an ingress counts as notified of a change."""
-    begins = _rows(table, "life").filter((pl.col("member") == member) & (pl.col("life") == life))["t"]
+    begins = _rows(table, "life").filter((pl.col("member") == member) & (pl.col("life") == run_number))["t"]
     known = max(at, float(begins[0]))
     for silence in _rows(table, "silence").filter(pl.col("member") == member).iter_rows(named=True):
         if silence["t"] <= known < silence["until"]:
--- a/lab/soak/plan.py
+++ b/lab/soak/plan.py
@@ -202,7 +202,7 @@
             deadline = rng.choice([longest, rng.choice(DEADLINES)])
             signals.append(SignalAt(at, signal, deadline, rng.randrange(ingresses)))
         elif signal is Signal.TERMINATE and at < 0:
-            continue  # the first one is the life's own
+            continue  # the first SIGTERM is sent by the process run itself
         elif signal is Signal.HOLD and any(one.signal is Signal.HOLD for one in signals):
             continue  # two pauses could overlap into a longer one
         else:
--- a/lab/soak/play.py
+++ b/lab/soak/play.py
@@ -108,29 +108,29 @@
     # The process runs of one ingress.
 
     def _run_ingress(self, site: Site, member: int) -> None:
-        for number, life in enumerate(self.plan.process_runs[member]):
+        for number, process_run in enumerate(self.plan.process_runs[member]):
             started = self.now()
-            if number or life.fault is not None:
-                self._start(site, member, life, first=not number)
+            if number or process_run.fault is not None:
+                self._start(site, member, process_run, first=not number)
             ready = self.now()
             ingress = site.live[member]
-            ended = self._play_process_run(site, member, number, life, ingress)
+            ended = self._play_process_run(site, member, number, process_run, ingress)
             status = "killed" if ended.ended_at is None else str(ingress.process.returncode)
             self._record_process_run(member, number, started, ready, ended, status)
             self.logs += [f"n{member} life {number} {line}" for line in list(ingress.log)]
 
-    def _start(self, site: Site, member: int, life: ProcessRun, first: bool) -> None:
+    def _start(self, site: Site, member: int, process_run: ProcessRun, first: bool) -> None:
         if first:  # the site started it without faults
             site.kill(member)
         module, environment = "standflow", None
-        if (fault := life.fault) is not None:
+        if (fault := process_run.fault) is not None:
             module = "lab.faulty_calls"
             calls = [{"call": fault.call, "error": fault.error, "every": fault.every}]
             environment = {VARIABLE: json.dumps({"calls": calls, "from": fault.begin, "until": fault.end})}
         site.start(member, module=module, environment=environment)
 
     def _play_process_run(
-        self, site: Site, member: int, number: int, life: ProcessRun, ingress: Ingress
+        self, site: Site, member: int, number: int, process_run: ProcessRun, ingress: Ingress
     ) -> Shutdown:
         clients = [
             Client(
@@ -139,10 +139,10 @@
                 one.disconnects_at,
                 one.open_until_kill,
             )
-            for one in life.clients
+            for one in process_run.clients
         ]
         due, prepared = [], {}
-        for one in life.signals:
+        for one in process_run.signals:
             due.append((one.at, int(SIGNAL_NUMBERS[one.signal])))
             prepared[one.at] = one
             if one.signal is Signal.HOLD:
@@ -158,7 +158,7 @@
             ingress.process,
             site.addresses[member],
             clients,
-            life.counted_deadline(self.plan.longest_deadline),
+            process_run.counted_deadline(self.plan.longest_deadline),
             self.plan.longest_deadline,
             self.arrived,
             due,
--- a/lab/streams.py
+++ b/lab/streams.py
@@ -17,8 +17,8 @@
 
 Address = tuple[str, int]
 Pair = tuple[int, int]  # numbers of an ingress and an endpoint
-PIECE = 65536
-TICK = 0.02  # seconds
+CHUNK_BYTES = 65536
+POLL_SECONDS = 0.02
 
 
 @dataclass(slots=True, eq=False)
@@ -86,7 +86,7 @@
         with self.lock:
             self.refused |= {(a, b) for a in ingresses for b in ends}
             for direction in [direction for direction in self.directions if direction.pair in self.refused]:
-                self._end(direction, True)
+                self._close(direction, True)
 
     def heal(self) -> None:
         """Forwards everything again, including data held back so far."""
@@ -97,18 +97,18 @@
     def _run(self) -> None:
         while self.open:
             with contextlib.suppress(OSError):
-                ready = self.selector.select(TICK)
+                ready = self.selector.select(POLL_SECONDS)
             with self.lock:
                 for key, _ in ready:
                     self._accept(key.data) if isinstance(key.data, tuple) else self._read(key.data)
                 now = time.monotonic()
                 for direction in list(self.directions):
                     if direction in self.directions:
-                        self._pass(direction, now)
-            if ready and all(self._held(key.data) for key, _ in ready):
-                time.sleep(TICK)  # held sockets stay readable; avoids a busy loop
+                        self._forward(direction, now)
+            if ready and all(self._is_held(key.data) for key, _ in ready):
+                time.sleep(POLL_SECONDS)  # held sockets stay readable; avoids a busy loop
 
-    def _held(self, data: Pair | Direction) -> bool:
+    def _is_held(self, data: Pair | Direction) -> bool:
         pair = data if isinstance(data, tuple) else data.pair
         return pair in self.silent or (isinstance(data, Direction) and len(data.waiting) > 64)
 
@@ -116,35 +116,38 @@
         if pair in self.silent:
             return
         try:
-            near, _ = self.listeners[pair].accept()
+            client_sock, _ = self.listeners[pair].accept()
         except OSError:
             return
         try:
             if pair in self.refused:
                 raise ConnectionRefusedError
-            far = socket.create_connection(self.ends[pair[1]], 1.0)
+            endpoint_sock = socket.create_connection(self.ends[pair[1]], 1.0)
         except OSError:
             self.resets += 1
-            near.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-            near.close()
+            client_sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            client_sock.close()
             return
-        there, back = Direction(pair, near, far), Direction(pair, far, near)
-        there.other, back.other = back, there
-        for direction in (there, back):
+        upstream, downstream = (
+            Direction(pair, client_sock, endpoint_sock),
+            Direction(pair, endpoint_sock, client_sock),
+        )
+        upstream.other, downstream.other = downstream, upstream
+        for direction in (upstream, downstream):
             direction.source.setblocking(False)
             direction.source.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.directions.append(direction)
             self.selector.register(direction.source, selectors.EVENT_READ, direction)
 
     def _read(self, direction: Direction) -> None:
-        if direction not in self.directions or self._held(direction):
+        if direction not in self.directions or self._is_held(direction):
             return
         try:
-            data = direction.source.recv(PIECE)
+            data = direction.source.recv(CHUNK_BYTES)
         except BlockingIOError:
             return
         except OSError:
-            self._end(direction, True)
+            self._close(direction, True)
             return
         self.serial += 1
         heapq.heappush(direction.waiting, (time.monotonic() + self.delay, self.serial, data))
@@ -152,7 +155,7 @@
             direction.ended = True
             self.selector.unregister(direction.source)
 
-    def _pass(self, direction: Direction, now: float) -> None:
+    def _forward(self, direction: Direction, now: float) -> None:
         while direction.waiting and direction.waiting[0][0] <= now and direction.pair not in self.silent:
             at, serial, data = direction.waiting[0]
             try:
@@ -167,7 +170,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                self._end(direction, True)
+                self._close(direction, True)
                 return
             heapq.heappop(direction.waiting)
         other = direction.other
@@ -178,15 +181,15 @@
             and not direction.waiting
             and not other.waiting
         ):
-            self._end(direction, False)
+            self._close(direction, False)
 
-    def _end(self, direction: Direction, broken: bool) -> None:
+    def _close(self, direction: Direction, abort: bool) -> None:
         for one in (direction, direction.other):
             if one is not None and one in self.directions:
                 self.directions.remove(one)
                 if not one.ended:
                     self.selector.unregister(one.source)
-                if broken:  # before close(), so that no FIN is sent first
+                if abort:  # before close(), so that no FIN is sent first
                     one.source.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
                 one.source.close()
-        self.resets += broken
+        self.resets += abort
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -9,7 +9,7 @@
 from lab.datagrams import DatagramProxy
 
 
-def test_a_datagram_arrives_from_the_address_at_which_its_sender_is_seen_and_a_cut_ends_that() -> None:
+def test_a_datagram_arrives_from_its_senders_address_unless_cut_or_lost() -> None:
     with DatagramProxy(3) as network:
         socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(3)]
         for number, sock in enumerate(socks):
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -32,14 +32,14 @@
     assert evaluate_quotas(history, RATE, BURST).use == pytest.approx(use)
 
 
-def test_the_tenant_that_went_beyond_is_named_among_many() -> None:
+def test_the_tenant_with_the_highest_use_is_named() -> None:
     history = [one for n in range(50) for one in steady(1, 20, tenant=f"calm{n}")]
     verdict = evaluate_quotas(history + steady(4, 20, tenant="heavy"), RATE, BURST)
     assert (verdict.worst_tenant, verdict.tenants) == ("heavy", 51)
     assert verdict.use == pytest.approx(40 / 30)
 
 
-def test_refusals_inside_quota_are_told_from_refusals_beyond_it() -> None:
+def test_refusals_inside_and_beyond_quota_are_distinguished() -> None:
     beyond = [TenantRequest(one.at, "heavy", 1, n < 10 or n % 2 == 0) for n, one in enumerate(steady(4, 20))]
     fair = evaluate_quotas(beyond, RATE, BURST)  # its rate and burst ran, the excess was refused
     assert fair.refused_share < 0.15
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -27,7 +27,7 @@
 PATIENCE = 2.0
 
 
-def life(**changes: object) -> Row:
+def process_run_row(**changes: object) -> Row:
     row = Row(what="life", t=0.0, until=9.0, member=0, life=0, seconds=0.5, end="0", detail="SIGKILL at 9.2")
     return replace(row, **changes)  # type: ignore[arg-type]
 
@@ -55,31 +55,31 @@
     return replace(row, **changes)  # type: ignore[arg-type]
 
 
-def came(ident: str, at: float, told: float = 1.0, safe: bool = True, backend: int = 0) -> Row:
-    return Row(what="came", t=at, ident=ident, safe=safe, seconds=told, backend=backend)
+def came(ident: str, at: float, stated: float = 1.0, safe: bool = True, backend: int = 0) -> Row:
+    return Row(what="came", t=at, ident=ident, safe=safe, seconds=stated, backend=backend)
 
 
-WELL = [life(), connection(), asked("a", 1.0, 0.1), came("a", 1.01)]
+VALID_ROWS = [process_run_row(), connection(), asked("a", 1.0, 0.1), came("a", 1.01)]
 
 
 def faults(*rows: Row, run: Run = RUN) -> list[str]:
     return rule_violations(run, table(list(rows)))
 
 
-def test_the_same_seed_draws_the_same_run_and_another_another() -> None:
+def test_a_seed_determines_the_run_and_seeds_differ() -> None:
     for seed in range(60):
         assert draw(seed) == draw(seed)
         random.seed(seed)  # the global generator has no influence
     assert len({draw(seed) for seed in range(60)}) == 60
 
 
-def test_what_is_drawn_is_what_the_terms_allow() -> None:
+def test_drawn_runs_stay_within_the_terms() -> None:
     runs = [draw(seed) for seed in range(200)]
     assert {run.ingresses for run in runs} == {1, 2, 3, 4}
     assert sum(run.crowd for run in runs) == pytest.approx(len(runs) / 3, abs=1)
     assert min(run.longest_deadline for run in runs) == 0.3
     assert max(run.longest_deadline for run in runs) == 5.0
-    process_runs = [(run, life) for run in runs for of in run.process_runs for life in of]
+    process_runs = [(run, process_run) for run in runs for of in run.process_runs for process_run in of]
     for run, one in process_runs:
         end = kill_time(one.counted_deadline(run.longest_deadline))
         sends = [send.at for client in one.clients for send in client.sends]
@@ -92,15 +92,15 @@
     assert {signal.signal for _, one in process_runs for signal in one.signals} == set(Signal)
 
 
-def test_in_a_quarter_of_the_seeds_something_is_owed_at_the_last_moment() -> None:
+def test_a_quarter_of_the_seeds_has_requests_pending_at_kill() -> None:
     # With all connections drained early, an ingress that ended too late went unnoticed.
     runs = [draw(seed) for seed in range(200)]
     assert sum(run.pending_at_kill for run in runs) == len(runs) / 4
     for run in runs:
-        for life in (life for of in run.process_runs for life in of):
-            waiting = [client for client in life.clients if client.open_until_kill]
+        for process_run in (process_run for of in run.process_runs for process_run in of):
+            waiting = [client for client in process_run.clients if client.open_until_kill]
             assert bool(waiting) == run.pending_at_kill
-            plan = schedule_for(life.counted_deadline(run.longest_deadline))
+            plan = schedule_for(process_run.counted_deadline(run.longest_deadline))
             for client in waiting:
                 first, last = (send.at for send in client.sends)
                 assert first < plan.stop_accepting < first + run.longest_deadline
@@ -108,8 +108,8 @@
                 assert last + run.longest_deadline > plan.answer_all
 
 
-def test_a_run_in_which_all_is_well_breaks_nothing() -> None:
-    assert faults(*WELL) == []
+def test_a_valid_run_has_no_violations() -> None:
+    assert faults(*VALID_ROWS) == []
 
 
 @pytest.mark.parametrize(
@@ -117,67 +117,75 @@
     [("reset", 5.0, False), ("open", None, False), ("closed", 5.0, False), ("closed", 1.0, True)],
 )
 def test_a_request_without_an_answer_is_lost(closing: str, until: float | None, arrived: bool) -> None:
-    rows = [life(), connection(end=closing, until=until), asked("a", 1.0, None)]
+    rows = [process_run_row(), connection(end=closing, until=until), asked("a", 1.0, None)]
     found = faults(*rows, *([came("a", 1.01)] if arrived else []))
     assert [line.partition(":")[0] for line in found] == ["lost"]
 
 
 def test_what_crosses_the_end_of_a_connection_is_not_lost() -> None:
-    assert faults(life(), connection(until=1.0), asked("a", 0.99, None)) == []
-    assert faults(life(), connection(end="left", until=1.5), asked("a", 1.0, None), came("a", 1.01)) == []
+    assert faults(process_run_row(), connection(until=1.0), asked("a", 0.99, None)) == []
+    assert (
+        faults(process_run_row(), connection(end="left", until=1.5), asked("a", 1.0, None), came("a", 1.01))
+        == []
+    )
 
 
-def test_of_a_value_that_is_cut_off_the_client_can_tell_and_what_was_read_behind_it_is_lost() -> None:
+def test_a_cut_off_value_is_exempt_but_a_request_read_after_it_is_lost() -> None:
     cut = connection(end="closed", until=3.0, begun="begun")
-    rows = [life(), cut, asked("a", 1.0, None), came("a", 1.01), asked("b", 1.1, None)]
+    rows = [process_run_row(), cut, asked("a", 1.0, None), came("a", 1.01), asked("b", 1.1, None)]
     assert faults(*rows) == []  # the second was not read
     assert len(faults(*rows, came("b", 1.11))) == 1
 
 
-def test_beside_a_crowd_a_new_connection_may_be_shut_unread_and_one_that_was_read_may_not() -> None:
-    shut = [life(), connection(end="reset", until=3.0), asked("a", 1.0, None)]
+def test_during_a_crowd_only_a_new_unread_connection_may_be_closed() -> None:
+    shut = [process_run_row(), connection(end="reset", until=3.0), asked("a", 1.0, None)]
     assert len(faults(*shut)) == 1
     assert faults(*shut, run=CROWD) == []
     assert len(faults(*shut, came("a", 1.01), run=CROWD)) == 1
     assert len(faults(*shut, asked("b", 0.9, 0.01), run=CROWD)) == 1  # not a new connection
 
 
-def test_a_late_answer_is_found_but_for_what_it_waits_for_those_before() -> None:
+def test_a_late_answer_is_found_unless_it_waited_for_earlier_ones() -> None:
     late = PATIENCE + ANSWER_SLACK_SECONDS + 0.01
-    assert len(faults(life(), connection(), asked("a", 1.0, late))) == 1
-    assert faults(life(), connection(), asked("a", 1.0, late - 0.02)) == []
+    assert len(faults(process_run_row(), connection(), asked("a", 1.0, late))) == 1
+    assert faults(process_run_row(), connection(), asked("a", 1.0, late - 0.02)) == []
     first = asked("a", 0.5, 3.2, seconds=5.0)
-    assert faults(life(), connection(), first, asked("b", 0.6, 3.105)) == []
-    assert len(faults(life(), connection(), first, asked("b", 0.6, 3.2))) == 1
+    assert faults(process_run_row(), connection(), first, asked("b", 0.6, 3.105)) == []
+    assert len(faults(process_run_row(), connection(), first, asked("b", 0.6, 3.2))) == 1
 
 
-def test_what_may_not_be_repeated_and_ran_twice_is_found() -> None:
+def test_an_unsafe_request_that_ran_twice_is_found() -> None:
     unsafe = asked("a", 1.0, 0.1, safe=False)
     twice = [came("a", 1.01, safe=False), came("a", 1.05, safe=False, backend=1)]
-    assert faults(life(), connection(), unsafe, twice[0]) == []
-    assert faults(life(), connection(), unsafe, *twice) == ["ran 2 times: a"]
-    assert faults(*WELL, came("a", 1.05, backend=1)) == []  # safe to repeat
+    assert faults(process_run_row(), connection(), unsafe, twice[0]) == []
+    assert faults(process_run_row(), connection(), unsafe, *twice) == ["ran 2 times: a"]
+    assert faults(*VALID_ROWS, came("a", 1.05, backend=1)) == []  # safe to repeat
 
 
-def test_an_attempt_after_its_client_has_left_is_found() -> None:
-    rows = [life(), connection(end="left", until=2.0), asked("a", 1.0, None)]
-    assert faults(*rows, came("a", 2.0 + DISCONNECT_SLACK_SECONDS - 0.01, told=0.5)) == []
-    assert len(faults(*rows, came("a", 2.0 + DISCONNECT_SLACK_SECONDS + 0.01, told=0.5))) == 1
+def test_an_attempt_after_its_client_disconnected_is_found() -> None:
+    rows = [process_run_row(), connection(end="left", until=2.0), asked("a", 1.0, None)]
+    assert faults(*rows, came("a", 2.0 + DISCONNECT_SLACK_SECONDS - 0.01, stated=0.5)) == []
+    assert len(faults(*rows, came("a", 2.0 + DISCONNECT_SLACK_SECONDS + 0.01, stated=0.5))) == 1
 
 
-def test_a_backend_that_is_told_more_than_is_left_is_found() -> None:
+def test_a_stated_time_beyond_the_remaining_time_is_found() -> None:
     left = PATIENCE - 0.5
-    rows = [life(), connection(), asked("a", 1.0, 0.6)]
-    assert faults(*rows, came("a", 1.5, told=left + REPORTED_TIME_SLACK_SECONDS - 0.01)) == []
-    assert len(faults(*rows, came("a", 1.5, told=left + REPORTED_TIME_SLACK_SECONDS + 0.01))) == 1
-
-
-def test_a_hold_up_by_the_soak_beyond_the_terms_is_no_fault_of_the_ingress_and_one_within_them_is() -> None:
-    rows = [life(), connection(), asked("a", 1.0, 0.6), came("a", 1.2, told=1.99)]  # 1.8 s are left
+    rows = [process_run_row(), connection(), asked("a", 1.0, 0.6)]
+    assert faults(*rows, came("a", 1.5, stated=left + REPORTED_TIME_SLACK_SECONDS - 0.01)) == []
+    assert len(faults(*rows, came("a", 1.5, stated=left + REPORTED_TIME_SLACK_SECONDS + 0.01))) == 1
+
+
+def test_only_the_excess_of_a_pause_over_the_terms_is_excused() -> None:
+    rows = [
+        process_run_row(),
+        connection(),
+        asked("a", 1.0, 0.6),
+        came("a", 1.2, stated=1.99),
+    ]  # 1.8 s are left
     for held, count in ((0.15, 1), (0.18, 1), (0.2, 0)):
-        stop, go_on = (Row(what="signal", t=t, member=0, life=0, detail=d) for t, d in _hold(0.99, held))
-        assert len(faults(*rows, stop, go_on)) == count
-        elsewhere = [replace(one, member=1) for one in (stop, go_on)]
+        stop, cont = (Row(what="signal", t=t, member=0, life=0, detail=d) for t, d in _hold(0.99, held))
+        assert len(faults(*rows, stop, cont)) == count
+        elsewhere = [replace(one, member=1) for one in (stop, cont)]
         assert len(faults(*rows, *elsewhere)) == 1
     late = [Row(what="signal", t=t, member=0, life=0, detail=d) for t, d in _hold(1.3, 0.2)]
     assert len(faults(*rows, *late)) == 1  # after the attempt
@@ -188,7 +196,7 @@
 
 
 @pytest.mark.parametrize(
-    ("silence", "told"),
+    ("silence", "notified"),
     [
         (None, 2.0),
         (Row(what="silence", t=1.5, until=3.0, member=0, detail="silent"), 3.0),
@@ -196,24 +204,26 @@
         (Row(what="silence", t=1.5, until=3.0, member=1, detail="silent"), 2.0),
     ],
 )
-def test_a_request_to_a_backend_that_drains_is_found_past_the_grace(silence: Row | None, told: float) -> None:
-    at = told + DRAIN_GRACE_SECONDS
+def test_a_request_to_a_draining_backend_is_found_after_the_grace(
+    silence: Row | None, notified: float
+) -> None:
+    at = notified + DRAIN_GRACE_SECONDS
     drain = [Row(what="drain", t=2.0, backend=0), Row(what="back", t=at + 5, backend=0)]
-    rows = [life(), connection(until=60.0), *drain, *([silence] if silence else [])]
+    rows = [process_run_row(), connection(until=60.0), *drain, *([silence] if silence else [])]
     for come, count in ((at - 0.05, 0), (at + 0.05, 1), (at + 5.1, 0)):
         assert len(faults(*rows, asked("a", come - 0.01, 0.1), came("a", come))) == count
     assert faults(*rows, asked("a", at, 0.2), came("a", at + 0.05, backend=1)) == []
 
 
-def test_a_life_that_ends_otherwise_than_by_itself_or_is_ready_late_is_found() -> None:
-    assert len(faults(life(end="killed", until=None))) == 1
-    assert len(faults(life(end="-11"))) == 1
-    assert len(faults(life(seconds=READY_SECONDS + 0.1))) == 1
+def test_a_killed_failed_or_late_process_run_is_found() -> None:
+    assert len(faults(process_run_row(end="killed", until=None))) == 1
+    assert len(faults(process_run_row(end="-11"))) == 1
+    assert len(faults(process_run_row(seconds=READY_SECONDS + 0.1))) == 1
 
 
 def test_use_beyond_a_quota_is_found() -> None:
     allowance = 46  # units in 10 s: 6 at once and 4 a second
     rows = [asked(f"{n}", 1.0 + 9.0 * n / 52, 0.1, n) for n in range(52)]
     ends = [connection(n, until=60.0) for n in range(52)]
-    assert len(faults(life(), *ends, *rows)) == 1
-    assert faults(life(), *ends[:allowance], *rows[:allowance]) == []
+    assert len(faults(process_run_row(), *ends, *rows)) == 1
+    assert faults(process_run_row(), *ends[:allowance], *rows[:allowance]) == []
