--- a/lab/discovery.py
+++ b/lab/discovery.py
@@ -15,9 +15,9 @@
 class Discovery:
     """Serves `GET /v1/endpoints`, and with `follow=1&since=N` a watch as a chunked response."""
 
-    def __init__(self, beat: float = 1.0) -> None:
-        """`beat`: interval in seconds of the empty lines that keep an idle watch alive."""
-        self.beat = beat
+    def __init__(self, keepalive_interval: float = 1.0) -> None:
+        """`keepalive_interval`: seconds between the empty lines that keep an idle watch alive."""
+        self.keepalive_interval = keepalive_interval
         self.revision = 1
         self.members: dict[
             str, tuple[int, dict[str, Any]]
@@ -85,7 +85,7 @@
         while not self.ended:
             with self.changed:
                 if self.revision == seen:
-                    self.changed.wait(self.beat)
+                    self.changed.wait(self.keepalive_interval)
                 line = json.dumps(self._since(seen)).encode() if self.revision != seen else b""
                 seen = self.revision
             self._line(sock, line)
--- a/lab/fleet/site.py
+++ b/lab/fleet/site.py
@@ -27,7 +27,7 @@
 RATE, BURST = 4.0, 12.0  # of each tenant's plan; a request is one unit
 FAILURE_DETECTION_SECONDS = (0.9, 3.1)  # range in which a load balancer keeps sending to a dead ingress
 DEADLINE = 3.0
-HEAVY, CALM = 3, 6  # tenants
+HEAVY_TENANTS, CALM_TENANTS = 3, 6  # tenants
 REQUEST_CPU_SECONDS = 0.05  # per request at a box of one core, with streams
 SETTINGS_TEMPLATE = """
 name      n{number}
@@ -120,9 +120,9 @@
         self.boxes = [self.stack.enter_context(Box(work=work, cores=cores)) for _ in range(boxes)]
         self.streams: TcpProxy | None = None
         # one per ingress, since each sees the boxes at its own proxy addresses
-        self.lists = [self.stack.enter_context(Discovery(0.5)) for _ in range(size if streams else 0)]
+        self.discoveries = [self.stack.enter_context(Discovery(0.5)) for _ in range(size if streams else 0)]
         if streams:
-            endpoints = [box.address for box in self.boxes] + [one.address for one in self.lists]
+            endpoints = [box.address for box in self.boxes] + [one.address for one in self.discoveries]
             self.streams = self.stack.enter_context(TcpProxy(size, endpoints))
             for number in range(boxes):
                 self._publish_box(number)
@@ -266,7 +266,7 @@
 
     def _publish_box(self, number: int, phase: str = "SERVING") -> None:
         """Publishes a box in every discovery, with the address at which that ingress sees the box."""
-        for member, one in enumerate(self.lists):
+        for member, one in enumerate(self.discoveries):
             assert self.streams is not None
             address = (
                 self.streams.addresses_for(member)[number] if self.relayed else self.boxes[number].address
@@ -294,7 +294,9 @@
 
     def tenants(self) -> dict[str, float]:
         """Each tenant with its load as a multiple of its rate."""
-        return {f"heavy{n}": 2.0 for n in range(HEAVY)} | {f"calm{n}": 0.3 for n in range(CALM)}
+        return {f"heavy{n}": 2.0 for n in range(HEAVY_TENANTS)} | {
+            f"calm{n}": 0.3 for n in range(CALM_TENANTS)
+        }
 
     def _run_callers(self, number: int, span: float) -> None:
         span_name = "" if self.runs == 1 else f"r{self.runs}"
--- a/lab/quotas.py
+++ b/lab/quotas.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-WINDOW = 10.0  # seconds over which the promise on use is given
+WINDOW_SECONDS = 10.0  # over which the promise on use is given
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,8 +32,8 @@
     worst_tenant: str  # the tenant with that use
     within_quota: float  # units that the ideal bucket admits
     shortfall: float  # of these, units that did not run
-    compliant_units: float  # units requested by tenants that stayed inside quota throughout
-    refused_compliant_units: float  # of these, units that did not run
+    compliant: float  # units requested by tenants that stayed inside quota throughout
+    refused_compliant: float  # of these, units that did not run
 
     @property
     def refused_share(self) -> float:
@@ -43,61 +43,52 @@
     @property
     def compliant_refused_share(self) -> float:
         """The same for tenants that never requested more than their quota."""
-        return self.refused_compliant_units / self.compliant_units if self.compliant_units else 0.0
+        return self.refused_compliant / self.compliant if self.compliant else 0.0
 
 
 def evaluate_quotas(history: Iterable[TenantRequest], rate: float, burst: float) -> QuotaReport:
     """The report on a history in any order. ValueError if the plan allows nothing."""
-    allowance = burst + WINDOW * rate
+    allowance = burst + WINDOW_SECONDS * rate
     if allowance <= 0:
         raise ValueError("a plan without an allowance can't be judged")
     of: dict[str, list[TenantRequest]] = defaultdict(list)
     for one in history:
         of[one.tenant].append(one)
-    use, worst_tenant, within_quota, shortfall, compliant_units, refused_compliant_units = (
-        0.0,
-        "",
-        0.0,
-        0.0,
-        0.0,
-        0.0,
-    )
-    for tenant, tries in of.items():
-        tries.sort(key=lambda one: one.at)
-        most = _most(tries) / allowance
+    use, worst_tenant, within_quota, shortfall, compliant, refused_compliant = 0.0, "", 0.0, 0.0, 0.0, 0.0
+    for tenant, requests in of.items():
+        requests.sort(key=lambda one: one.at)
+        most = _peak_window_units(requests) / allowance
         if most > use:
             use, worst_tenant = most, tenant
-        ideal = _ideal(tries, rate, burst)
-        asked, ran = sum(one.units for one in tries), sum(one.units for one in tries if one.ran)
+        ideal = _ideal_units(requests, rate, burst)
+        asked, ran = sum(one.units for one in requests), sum(one.units for one in requests if one.ran)
         within_quota += ideal
         shortfall += max(0.0, ideal - ran)
         if ideal == asked:
-            compliant_units += asked
-            refused_compliant_units += asked - ran
-    return QuotaReport(
-        len(of), use, worst_tenant, within_quota, shortfall, compliant_units, refused_compliant_units
-    )
+            compliant += asked
+            refused_compliant += asked - ran
+    return QuotaReport(len(of), use, worst_tenant, within_quota, shortfall, compliant, refused_compliant)
 
 
-def _most(tries: Sequence[TenantRequest]) -> float:
+def _peak_window_units(requests: Sequence[TenantRequest]) -> float:
     """Most units that ran within any window; a request exactly one window old is outside."""
     window: deque[TenantRequest] = deque()
     total = most = 0.0
-    for one in tries:
+    for one in requests:
         if not one.ran:
             continue
         window.append(one)
         total += one.units
-        while window[0].at <= one.at - WINDOW:
+        while window[0].at <= one.at - WINDOW_SECONDS:
             total -= window.popleft().units
         most = max(most, total)
     return most
 
 
-def _ideal(tries: Sequence[TenantRequest], rate: float, burst: float) -> float:
+def _ideal_units(requests: Sequence[TenantRequest], rate: float, burst: float) -> float:
     """Units that the ideal bucket admits."""
-    available, at, admitted = burst, tries[0].at, 0.0
-    for one in tries:
+    available, at, admitted = burst, requests[0].at, 0.0
+    for one in requests:
         available, at = min(burst, available + (one.at - at) * rate), one.at
         if one.units <= available:
             available -= one.units
--- a/lab/soak/checks.py
+++ b/lab/soak/checks.py
@@ -53,7 +53,8 @@
 
     A request counts as read if it reached a backend, if its connection did not close in order, or if it was
     sent too early to cross an orderly close. Exempt are a value that was cut off while it was forwarded, with
-    the unread requests behind it, and, during a crowd, requests on a new connection that was closed unread.
+    the unread requests behind it, and, in a run with a crowd, requests on a new connection
+    that was closed unread.
     """
     found = []
     requests = _requests(table).filter((pl.col("end") == "open") & (pl.col("closing") != "left"))
--- a/lab/soak/plan.py
+++ b/lab/soak/plan.py
@@ -163,8 +163,8 @@
     pending_at_kill = seed % 4 == 2
     process_runs = tuple(
         tuple(
-            _draw_process_run(rng, longest, ingresses, crowd and number == 0 and process_run == 0)
-            for process_run in range(rng.randint(1, 3 if ingresses < 3 else 2))
+            _draw_process_run(rng, longest, ingresses, crowd and number == 0 and index == 0)
+            for index in range(rng.randint(1, 3 if ingresses < 3 else 2))
         )
         for number in range(ingresses)
     )
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -43,7 +43,7 @@
     beyond = [TenantRequest(one.at, "heavy", 1, n < 10 or n % 2 == 0) for n, one in enumerate(steady(4, 20))]
     fair = evaluate_quotas(beyond, RATE, BURST)  # its rate and burst ran, the excess was refused
     assert fair.refused_share < 0.15
-    assert fair.compliant_units == 0
+    assert fair.compliant == 0
     assert evaluate_quotas(steady(4, 20, ran=False), RATE, BURST).refused_share == 1.0
     calm = [TenantRequest(one.at, "calm", 1, n % 4 > 0) for n, one in enumerate(steady(1, 20))]
     verdict = evaluate_quotas(beyond + calm, RATE, BURST)
