--- a/lab/bench_counter.py
+++ b/lab/bench_counter.py
@@ -27,11 +27,11 @@
 from hoistfold import interface as i
 from hoistfold.gateway import Gateway
 from lab.box import Box
-from lab.callers import Callers, command, kind_of, read
-from lab.counter import Door, Store
-from lab.datagrams import Datagrams
+from lab.callers import Callers, command, read, reply_outcome
+from lab.counter import CounterServer, Store
+from lab.datagrams import DatagramProxy
 from lab.processes import Ingress
-from lab.quotas import Try, Verdict, judge
+from lab.quotas import QuotaReport, TenantRequest, evaluate_quotas
 from lab.report import Report
 from lab.vast import settings
 from standflow.counter.ledger import Ledger
@@ -77,10 +77,12 @@
         self.folder = Path(self.stack.enter_context(tempfile.TemporaryDirectory()))
         self.store = Store(COUNTER_PARTS)
         # The counter's listener for the zone of the first ingress, and the one for the other ingresses.
-        self.first_door, self.other_door = (self.stack.enter_context(Door(self.store)) for _ in range(2))
+        self.first_door, self.other_door = (
+            self.stack.enter_context(CounterServer(self.store)) for _ in range(2)
+        )
         self.box = self.stack.enter_context(Box())
         self.ring, self.witness_config = ring, witness_config
-        self.network = self.stack.enter_context(Datagrams(INGRESSES, loss))
+        self.network = self.stack.enter_context(DatagramProxy(INGRESSES, loss))
         self.ingresses = [self.start(number) for number in range(INGRESSES)]
         self.addresses = [one.address() for one in self.ingresses]
 
@@ -93,7 +95,7 @@
     def start(self, number: int) -> Ingress:
         """Starts an ingress, without state of an earlier process run."""
         lines = ["peer-listen {}:{}".format(*self.network.real[number])]
-        lines += ["peer {}:{}".format(*address) for address in self.network.seen_by(number)]
+        lines += ["peer {}:{}".format(*address) for address in self.network.addresses_for(number)]
         path = self.folder / f"{number}.conf"
         path.write_text(
             CONFIG.format(
@@ -124,7 +126,7 @@
 
     def __init__(self, site: Site, number: int, arrivals: list[tuple[float, str]]) -> None:
         self.site, self.number, self.arrivals = site, number, arrivals
-        self.tries: list[Try] = []
+        self.tries: list[TenantRequest] = []
         self.unanswered = 0
         self.thread = threading.Thread(target=self._run, daemon=True)
 
@@ -146,9 +148,9 @@
                 if sock is not None:
                     sock.close()
                 sock = None
-            result = kind_of(answer)
+            result = reply_outcome(answer)
             if result in ("served", "refused"):
-                self.tries.append(Try(time.monotonic() - begin, tenant, 1.0, result == "served"))
+                self.tries.append(TenantRequest(time.monotonic() - begin, tenant, 1.0, result == "served"))
             else:
                 self.unanswered += 1
         if sock is not None:
@@ -182,12 +184,12 @@
 
 
 def set_counter_faults(**values: Any) -> Callable[[Site], None]:
-    """Sets attributes of both listeners of the counter; see lab.counter.Way."""
+    """Sets attributes of both listeners of the counter; see lab.counter.ServerFaults."""
 
     def inject(site: Site) -> None:
         for door in (site.first_door, site.other_door):
             for name, value in values.items():
-                setattr(door.way, name, value)
+                setattr(door.faults, name, value)
 
     return inject
 
@@ -200,7 +202,7 @@
 
 def cut_counter_part(site: Site) -> None:
     """The first ingress loses one part of the counter, which the others still reach."""
-    site.first_door.way.cut.add(0)
+    site.first_door.faults.cut.add(0)
 
 
 def split_counters(site: Site) -> None:
@@ -249,8 +251,8 @@
     Case("ring-and-part-cut", inject=cut_counter_part),
     Case("ring-and-two-counters", inject=split_counters),
     Case("ring-and-emptied", inject=empty_counter),
-    Case("ring-and-answers-lost", inject=set_counter_faults(lose=0.5)),
-    Case("ring-and-answers-spoilt", inject=set_counter_faults(spoil=0.3)),
+    Case("ring-and-answers-lost", inject=set_counter_faults(drop_share=0.5)),
+    Case("ring-and-answers-spoilt", inject=set_counter_faults(corrupt_share=0.3)),
     Case("ring-and-restart", inject=Site.restart, unanswered=RESTART_UNANSWERED),
     Case("restart-with-ring-alone", reconcile=False, inject=Site.restart, unanswered=RESTART_UNANSWERED),
     Case("ring-loses-7-of-100", loss=0.065, reconcile=False),
@@ -260,8 +262,12 @@
     Case("silent-ring-and-part-cut", inject=cut_ring_and(cut_counter_part), wrong=0.1),
     Case("silent-ring-and-two-counters", inject=cut_ring_and(split_counters), wrong=0.1),
     Case("silent-ring-and-emptied", inject=cut_ring_and(empty_counter), wrong=0.1),
-    Case("silent-ring-and-answers-lost", inject=cut_ring_and(set_counter_faults(lose=0.5)), wrong=0.1),
-    Case("silent-ring-and-answers-spoilt", inject=cut_ring_and(set_counter_faults(spoil=0.3)), wrong=0.1),
+    Case("silent-ring-and-answers-lost", inject=cut_ring_and(set_counter_faults(drop_share=0.5)), wrong=0.1),
+    Case(
+        "silent-ring-and-answers-spoilt",
+        inject=cut_ring_and(set_counter_faults(corrupt_share=0.3)),
+        wrong=0.1,
+    ),
     Case(
         "silent-ring-and-restart", inject=cut_ring_and(Site.restart), wrong=0.1, unanswered=RESTART_UNANSWERED
     ),
@@ -272,7 +278,7 @@
 )
 
 
-def run_case(case: Case, seed: int = 1) -> tuple[Verdict, int, float]:
+def run_case(case: Case, seed: int = 1) -> tuple[QuotaReport, int, float]:
     """Returns the verdict, the number of unanswered requests and the counter calls per request."""
     with Site(case.ring, WITNESS_CONFIG if case.reconcile else "", case.loss) as site:
         if case.ring:
@@ -287,7 +293,11 @@
             assert not one.thread.is_alive()  # an incomplete history would prove nothing
         tries = [one for load in loads for one in load.tries]
         unanswered = sum(load.unanswered for load in loads)
-        return judge(tries, PLAN_RATE, PLAN_BURST), unanswered, site.store.calls / max(1, len(tries))
+        return (
+            evaluate_quotas(tries, PLAN_RATE, PLAN_BURST),
+            unanswered,
+            site.store.calls / max(1, len(tries)),
+        )
 
 
 def run_cases(report: Report, cases: list[Case]) -> None:
@@ -295,8 +305,10 @@
     with ThreadPoolExecutor(PARALLEL_CASES) as pool:
         for case, (verdict, unanswered, calls) in zip(cases, pool.map(run_case, cases), strict=True):
             report.print_figure(f"{case.name}_use", verdict.use, "of_allowance", "<=1.1")
-            report.print_figure(f"{case.name}_wrong", verdict.wrong, "of_inside", f"<={case.wrong}")
-            report.print_figure(f"{case.name}_wrong_calm", verdict.wrong_calm, "of_inside", f"<={case.wrong}")
+            report.print_figure(f"{case.name}_wrong", verdict.refused_share, "of_inside", f"<={case.wrong}")
+            report.print_figure(
+                f"{case.name}_wrong_calm", verdict.compliant_refused_share, "of_inside", f"<={case.wrong}"
+            )
             report.print_figure(f"{case.name}_unanswered", unanswered, "count", f"<={case.unanswered}")
             if case.reconcile:
                 report.print_figure(f"{case.name}_calls", calls, "per_request")
@@ -322,7 +334,7 @@
         for name, callers in loads.items():
             for load in callers:
                 load.stop()
-            count = sum(sum(load.ends(since).values()) for load in callers)
+            count = sum(sum(load.outcome_counts(since).values()) for load in callers)
             spent[name] = (after[name] - before[name]) / max(1, count)
             report.print_figure(f"cpu_{name}", 1e6 * spent[name], "us_per_request")
         report.print_figure(
--- a/lab/bench_fleet.py
+++ b/lab/bench_fleet.py
@@ -50,25 +50,25 @@
         site.run(schedule.read(text, 5), span)
         table = record(site)
     verdict = quotas(table)
-    serving = quotas(table, MAJORITY_SIDE).wrong_calm
-    return Case(verdict.use, verdict.wrong, serving, unanswered(table), ran_twice(table))
+    serving = quotas(table, MAJORITY_SIDE).compliant_refused_share
+    return Case(verdict.use, verdict.refused_share, serving, unanswered(table), ran_twice(table))
 
 
 def convergence_times() -> dict[str, float]:
     """Twenty real ingresses without load: seconds until all agree on the membership after each change."""
     found = {}
     with Site(REAL_INGRESSES, boxes=1) as site:
-        found["start"] = site.until_agreed(20.0)
+        found["start"] = site.wait_for_agreement(20.0)
         time.sleep(3.0)
         site.kill(7)
-        found["crash"] = site.until_agreed(20.0)
+        found["crash"] = site.wait_for_agreement(20.0)
         site.start(7)
-        found["join"] = site.until_agreed(20.0)
+        found["join"] = site.wait_for_agreement(20.0)
         time.sleep(1.0)
-        site.network.part(set(range(8)), set(range(8, REAL_INGRESSES)))
+        site.network.partition(set(range(8)), set(range(8, REAL_INGRESSES)))
         time.sleep(15.0)
-        site.network.part()
-        found["healed"] = site.until_agreed(20.0)
+        site.network.partition()
+        found["healed"] = site.wait_for_agreement(20.0)
         cpu_before = {n: one.cpu() for n, one in site.live.items()}
         time.sleep(5.0)
         found["idle-cpu"] = (
@@ -80,28 +80,28 @@
 def simulated_times(size: int) -> dict[str, float]:
     """Members in simulated time with 6.5% loss: seconds until all agree, datagrams per second each way."""
     members = Members(size, 1, loss=0.065)
-    found = {"start": members.until(members.agree, 30.0)}
+    found = {"start": members.until(members.all_agree, 30.0)}
     members.run(4.0)
     before = sum(membership.outbox.sent + membership.counts.taken for membership in members.live.values())
     members.run(10.0)
     after = sum(membership.outbox.sent + membership.counts.taken for membership in members.live.values())
     found["messages"] = (after - before) / size / 10.0 / 2
     members.kill(size // 2)
-    found["crash"] = members.until(members.agree, 20.0)
+    found["crash"] = members.until(members.all_agree, 20.0)
     members.start(size // 2)
-    found["join"] = members.until(members.agree, 20.0)
+    found["join"] = members.until(members.all_agree, 20.0)
     side = set(range(2 * size // 5))
     members.blocked = lambda sender, to: (sender in side) != (to in side)
     members.run(20.0)
     members.blocked = lambda sender, to: False
-    found["healed"] = members.until(members.agree, 20.0)
+    found["healed"] = members.until(members.all_agree, 20.0)
     return found
 
 
 def false_positives(size: int, seconds: float, seed: int) -> tuple[int, float]:
     """How often a live member was declared dead by another one, and in how many member hours."""
     members = Members(size, seed, loss=0.065)
-    members.until(members.agree, 30.0)
+    members.until(members.all_agree, 30.0)
     for membership in members.live.values():
         membership.changes.clear()
     members.run(seconds)
@@ -131,7 +131,7 @@
         for name, callers in loads.items():
             for load in callers:
                 load.stop()
-            count = sum(sum(load.ends(since).values()) for load in callers)
+            count = sum(sum(load.outcome_counts(since).values()) for load in callers)
             spent[name] = (after[name] - before[name]) / max(1, count)
             report.print_figure(f"fleet.cpu-{name}", 1e6 * spent[name], "us-a-request")
     report.print_figure("fleet.cpu-on-over-off", spent["on"] / spent["off"], "ratio", "<=1.03")
--- a/lab/bench_ops.py
+++ b/lab/bench_ops.py
@@ -67,7 +67,7 @@
 
 def ops_call(ingress: Ingress, method: str, path: str) -> tuple[int, str, float]:
     """Makes an operators' call; returns the status, the body and the seconds that it took."""
-    match = ingress.logged(r"ops \S+ on ([\d.]+):(\d+)")
+    match = ingress.wait_for_log(r"ops \S+ on ([\d.]+):(\d+)")
     began = time.monotonic()
     with socket.create_connection((match[1], int(match[2])), 10.0) as sock:
         sock.sendall(f"{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
@@ -100,7 +100,7 @@
 def measure_ops_answers(report: Report, setup: IngressSetup) -> None:
     """The slowest operators' answer under full load, with other connections that send incomplete calls."""
     ingress, incomplete_calls = setup.start(), list[socket.socket]()
-    match = ingress.logged(r"ops \S+ on ([\d.]+):(\d+)")
+    match = ingress.wait_for_log(r"ops \S+ on ([\d.]+):(\d+)")
     with under_load(ingress.address(), rate=4 * REQUESTS_PER_SECOND, connections=48):
         slowest, wrong = 0.0, 0
         end = time.monotonic() + 8.0
@@ -134,10 +134,10 @@
             slowest_ready, began = max(slowest_ready, time.monotonic() - began), time.monotonic()
             ingress.end()
             slowest_exit, ingress = max(slowest_exit, time.monotonic() - began), newer
-    ends, retried = callers.ends(), sum(one.again for one in callers.asked)
-    report.print_figure("upgrade.requests", sum(ends.values()), "requests")
-    report.print_figure("upgrade.lost", ends["lost"], "requests", "==0")
-    report.print_figure("upgrade.failed", ends["failed"], "requests", "==0")
+    valid_until, retried = callers.outcome_counts(), sum(one.again for one in callers.asked)
+    report.print_figure("upgrade.requests", sum(valid_until.values()), "requests")
+    report.print_figure("upgrade.lost", valid_until["lost"], "requests", "==0")
+    report.print_figure("upgrade.failed", valid_until["failed"], "requests", "==0")
     report.print_figure("upgrade.sent_once_more", retried, "requests")
     report.print_figure("upgrade.slowest_yes", slowest_ready, "s", "<=6")
     report.print_figure("upgrade.slowest_leave", slowest_exit, "s", "<=3.7")
@@ -151,10 +151,10 @@
             # the callers use no load balancer and reconnect at once; each connection has one request
             drain_seconds = max(drain_seconds, time.monotonic() - began)
             ops_call(ingress, "POST", "/api/rejoin")
-    ends, retried = callers.ends(), sum(one.again for one in callers.asked)
-    report.print_figure("drain.requests", sum(ends.values()), "requests")
-    report.print_figure("drain.lost", ends["lost"], "requests", "==0")
-    report.print_figure("drain.failed", ends["failed"], "requests", "==0")
+    valid_until, retried = callers.outcome_counts(), sum(one.again for one in callers.asked)
+    report.print_figure("drain.requests", sum(valid_until.values()), "requests")
+    report.print_figure("drain.lost", valid_until["lost"], "requests", "==0")
+    report.print_figure("drain.failed", valid_until["failed"], "requests", "==0")
     report.print_figure("drain.sent_once_more", retried, "requests")
     ingress.end()
 
@@ -212,7 +212,7 @@
         reader.join(60.0)
     report.print_figure("long.whole", sum(complete), "values", f"=={SLOW_READERS}")
     report.print_figure("long.on_their_way", SLOW_READERS * LONG_VALUE_BYTES / 2**20, "MB")
-    report.print_figure("long.peak", ingress.peak(), "MB", f"<={MEMORY_LIMIT_MB}")
+    report.print_figure("long.peak", ingress.peak_rss_mb(), "MB", f"<={MEMORY_LIMIT_MB}")
     ingress.end()
     for box in boxes:
         box.do("set", value=0)
--- a/lab/bench_power.py
+++ b/lab/bench_power.py
@@ -17,8 +17,8 @@
 
 from lab.callers import Callers
 from lab.fleet import schedule
-from lab.fleet.record import COLD_FROM, COLD_TIME, pushed, quotas, ran_twice, record, unanswered
-from lab.fleet.site import WORK, Site
+from lab.fleet.record import COLD_START_SHARE, WARM_UP_SECONDS, pushed, quotas, ran_twice, record, unanswered
+from lab.fleet.site import REQUEST_CPU_SECONDS, Site
 from lab.report import Report
 from standflow.recovery.records import Record, encode, header_line, identity
 from standflow.recovery.store import RECORDS_FILE, Store
@@ -50,7 +50,7 @@
 def run_case(store: bool, seed: int) -> Case:
     """Kills all ingresses and starts them half a second later, with cold boxes."""
     with Site(INGRESSES, boxes=BOXES, seed=seed, store=store, streams=True) as site:
-        site.until_agreed(10.0)
+        site.wait_for_agreement(10.0)
         offset = site.now()
         site.run(schedule.read(SCHEDULE, INGRESSES), SPAN)
         table = record(site)
@@ -71,10 +71,14 @@
         )
         back[percent] = next(reached, lost_at + 15.0) - lost_at
         # the capacity of the boxes rises from their start; nothing is served before the ingresses are up
-        cold = (wanted * WORK / BOXES - COLD_FROM) * COLD_TIME / (1 - COLD_FROM)
-        best[percent] = max(0.5, min(cold, COLD_TIME))
+        cold = (
+            (wanted * REQUEST_CPU_SECONDS / BOXES - COLD_START_SHARE)
+            * WARM_UP_SECONDS
+            / (1 - COLD_START_SHARE)
+        )
+        best[percent] = max(0.5, min(cold, WARM_UP_SECONDS))
     return Case(
-        quotas(table).use, later.wrong, back, best, pushed(table), unanswered(table), ran_twice(table)
+        quotas(table).use, later.refused_share, back, best, pushed(table), unanswered(table), ran_twice(table)
     )
 
 
@@ -98,7 +102,7 @@
         for name, callers in loads.items():
             for load in callers:
                 load.stop()
-            count = sum(sum(load.ends(since).values()) for load in callers)
+            count = sum(sum(load.outcome_counts(since).values()) for load in callers)
             spent[name] = (after[name] - before[name]) / max(1, count)
             report.print_figure(f"power.cpu-{name}", 1e6 * spent[name], "us-a-request")
     report.print_figure("power.cpu-on-over-off", spent["on"] / spent["off"], "ratio", "<=1.05")
--- a/lab/bench_tls.py
+++ b/lab/bench_tls.py
@@ -248,7 +248,7 @@
                 cores=BOX_CORES,
                 cold_time=COLD_SECONDS,
             )
-            discovery.tell(name, box.address)
+            discovery.publish(name, box.address)
         discovery_setting = f"discovery {discovery.address[0]}:{discovery.address[1]}"
         values = {
             "ingresses": ingresses,
@@ -276,12 +276,12 @@
         victim = boxes["s-0"]
         started = victim.do("restart", certificate=site.certificate("s-0"))["started"]
         time.sleep(LIST_DELAY_SECONDS)
-        discovery.tell("s-0", victim.address, up_since=started)
+        discovery.publish("s-0", victim.address, up_since=started)
         time.sleep(COLD_SECONDS + 2.0 - LIST_DELAY_SECONDS)
         for caller in callers:
             caller.stop()
         # Requests in flight when the process died may have run, and fail for that, not because of handshakes.
-        ends = sum((caller.ends(started + 0.1) for caller in callers), Counter[str]())
+        valid_until = sum((caller.outcome_counts(started + 0.1) for caller in callers), Counter[str]())
         stats = {name: box.do("stats") for name, box in boxes.items()}
         worst = _worst_handshake_share(stats["s-0"]["events"], started)
         name = f"cold_{ingresses}_{'limited' if limit == 'on' else 'unlimited'}"
@@ -289,9 +289,9 @@
         report.print_figure(f"{name}_handshakes", _handshake_count(stats["s-0"]["events"], started), "count")
         after = _seconds_to_fair_share(stats, started)
         report.print_figure(f"{name}_own_share_after", after, "s")
-        lost = ends["lost"] + ends["failed"]
-        report.print_figure(f"{name}_requests", sum(ends.values()), "count")
-        report.print_figure(f"{name}_refused", ends["refused"], "count")
+        lost = valid_until["lost"] + valid_until["failed"]
+        report.print_figure(f"{name}_requests", sum(valid_until.values()), "count")
+        report.print_figure(f"{name}_refused", valid_until["refused"], "count")
         report.print_figure(f"{name}_lost_or_failed", lost, "count", "==0" if limit == "on" else "-")
         twice = sum(count > 1 for seen in stats.values() for count in seen["changes"].values())
         report.print_figure(f"{name}_ran_twice", twice, "count", "==0")
@@ -358,16 +358,18 @@
         for round_number in range(2, 12):
             before, site.authority = site.authority, Authority()
             site.authority.write_roots(site.folder, before, name="next.pem").replace(site.roots)
-            one.logged(rf"tls: set {round_number} in use")
+            one.wait_for_log(rf"tls: set {round_number} in use")
             for name, box in boxes.items():
                 box.do("forget", certificate=site.certificate(name))
             time.sleep(0.7)
         callers.stop()
-        ends = callers.ends()
+        valid_until = callers.outcome_counts()
         stats = [box.do("stats") for box in boxes.values()]
-        report.print_figure("rotations_requests", sum(ends.values()), "count", ">=500")
-        report.print_figure("rotations_lost_or_failed", ends["lost"] + ends["failed"], "count", "==0")
-        report.print_figure("rotations_refused", ends["refused"], "count", "==0")
+        report.print_figure("rotations_requests", sum(valid_until.values()), "count", ">=500")
+        report.print_figure(
+            "rotations_lost_or_failed", valid_until["lost"] + valid_until["failed"], "count", "==0"
+        )
+        report.print_figure("rotations_refused", valid_until["refused"], "count", "==0")
         report.print_figure(
             "rotations_handshakes", sum(seen["full"] + seen["resumed"] for seen in stats), "count"
         )
--- a/lab/callers.py
+++ b/lab/callers.py
@@ -1,6 +1,6 @@
-"""Callers: requests at a given rate over RESP2, each with its one answer noted.
+"""Load generator: callers that send RESP2 requests at a given rate and record each outcome.
 
-python -m lab.callers HOST:PORT CLASS PLAN     # one request, and its answer
+python -m lab.callers HOST:PORT CLASS PLAN     # sends one request and prints the answer
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 
 
 @dataclass(slots=True)
-class Asked:
-    """One request: Unix time, seconds to the answer, and served, refused, failed or lost."""
+class RequestRecord:
+    """One request. `at`: Unix time; `took`: seconds to the answer; `end`: served, refused, failed or lost."""
 
     at: float
     ident: str
@@ -32,12 +32,12 @@
     )
 
 
-class UnheardError(OSError):
-    """The connection was closed in order, with nothing of an answer."""
+class ClosedWithoutReplyError(OSError):
+    """The peer closed the connection in order before it sent any part of an answer."""
 
 
 class Callers:
-    """Callers of one ingress, each on a connection of its own, together at `rate` requests a second."""
+    """Callers of one ingress, one connection each, with `rate` requests a second in total."""
 
     def __init__(
         self,
@@ -50,10 +50,10 @@
         seed: int = 0,
         plan: str = "plain",
     ) -> None:
-        """`number`: the ingress's, with which its customers' sets begin; `changes`: the unsafe part."""
+        """`number`: of the ingress, the first in its tenants' sets; `changes`: share of unsafe requests."""
         self.address, self.rate, self.number, self.connections = address, rate, number, connections
         self.changes, self.spread, self.seed, self.plan = changes, spread, seed, plan
-        self.asked: list[Asked] = []
+        self.asked: list[RequestRecord] = []
         self.stopped = threading.Event()
         self.threads = [
             threading.Thread(target=self._ask, args=(connection,), daemon=True)
@@ -61,43 +61,43 @@
         ]
 
     def start(self) -> None:
-        """Begins to ask."""
+        """Starts sending."""
         for thread in self.threads:
             thread.start()
 
     def stop(self) -> None:
-        """Ends when what is open is answered."""
+        """Stops sending and waits for open requests."""
         self.stopped.set()
         for thread in self.threads:
             thread.join(20.0)
 
-    def ends(self, since: float = 0.0) -> Counter[str]:
-        """How many ended in each way, of those asked since a Unix time."""
+    def outcome_counts(self, since: float = 0.0) -> Counter[str]:
+        """Requests by outcome, of those sent since a Unix time."""
         return Counter(one.end for one in list(self.asked) if one.at >= since)
 
     def _ask(self, connection: int) -> None:
-        chance = random.Random(f"{self.seed} {self.number} {connection}")
+        rng = random.Random(f"{self.seed} {self.number} {connection}")
         sock: socket.socket | None = None
-        due, serial = time.monotonic() + chance.expovariate(self.rate / self.connections), 0
+        due, serial = time.monotonic() + rng.expovariate(self.rate / self.connections), 0
         while not self.stopped.wait(max(0.0, due - time.monotonic())):
-            due = max(due + chance.expovariate(self.rate / self.connections), time.monotonic() - 1.0)
+            due = max(due + rng.expovariate(self.rate / self.connections), time.monotonic() - 1.0)
             serial += 1
-            safe = chance.random() >= self.changes
+            safe = rng.random() >= self.changes
             ident = f"{self.seed:02x}n{self.number}l{connection}s{serial}"
-            customer = b"%016x" % (self.number * 1000 + chance.randrange(20))
+            tenant = b"%016x" % (self.number * 1000 + rng.randrange(20))
             kind = b"look" if safe else b"change"
-            said = b"c=%b,t=%b,d=3000,units=1,spread=%d,first=%d" % (
+            options = b"c=%b,t=%b,d=3000,units=1,spread=%d,first=%d" % (
                 kind,
                 self.plan.encode(),
                 self.spread,
                 self.number,
             )
-            text = command([b"Q.ASK" if safe else b"Q.DO", customer, ident.encode(), said])
+            text = command([b"Q.ASK" if safe else b"Q.DO", tenant, ident.encode(), options])
             at, began, answer = time.time(), time.monotonic(), b""
             again = False
             for _ in range(2):
                 if sock is not None and select.select([sock], [], [], 0)[0]:
-                    sock.close()  # it has been closed meanwhile, and nothing crosses that
+                    sock.close()  # closed while idle: reconnects before sending
                     sock = None
                 kept = sock is not None
                 try:
@@ -111,29 +111,29 @@
                     if sock is not None:
                         sock.close()
                     sock = None
-                    if not kept or not isinstance(error, UnheardError):
+                    if not kept or not isinstance(error, ClosedWithoutReplyError):
                         break
                     again = True
-            took, end = time.monotonic() - began, kind_of(answer)
+            took, end = time.monotonic() - began, reply_outcome(answer)
             value = answer.split(b"\r\n")[1] if end == "served" else b""
-            self.asked.append(Asked(at, ident, safe, took, end, value, again))
+            self.asked.append(RequestRecord(at, ident, safe, took, end, value, again))
         if sock is not None:
             with contextlib.suppress(OSError):
                 sock.close()
 
 
 def command(parts: list[bytes]) -> bytes:
-    """An array of bulk strings."""
+    """Encodes a command as an array of bulk strings."""
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
 
 
 def read(sock: socket.socket) -> bytes:
-    """One answer: a line, or a bulk string; OSError where it does not come whole."""
+    """Reads one answer, a line or a bulk string; raises OSError if it is incomplete."""
     data = b""
     while True:
         more = sock.recv(65536)
         if not more:
-            raise ConnectionResetError if data else UnheardError
+            raise ConnectionResetError if data else ClosedWithoutReplyError
         data += more
         if not data.endswith(b"\r\n"):
             continue
@@ -144,8 +144,8 @@
             return data
 
 
-def kind_of(answer: bytes) -> str:
-    """What an answer is to its caller."""
+def reply_outcome(answer: bytes) -> str:
+    """Classifies an answer as served, refused, failed or lost."""
     if answer.startswith(b"$") and not answer.startswith(b"$-1"):
         return "served"
     if answer.startswith(b"-BUSY"):
@@ -157,16 +157,16 @@
 @click.argument("address")
 @click.argument("kind")
 @click.argument("plan")
-@click.option("--unsafe", is_flag=True, help="Q.DO, for a class that must not run twice.")
+@click.option("--unsafe", is_flag=True, help="Send Q.DO, for a class that must not run twice.")
 def main(address: str, kind: str, plan: str, unsafe: bool) -> None:
-    """Ask the ingress at ADDRESS once, for the class KIND under PLAN, and print the answer."""
+    """Send one request of class KIND under PLAN to the ingress at ADDRESS and print the answer."""
     host, _, port = address.rpartition(":")
     options = f"c={kind},t={plan},d=3000,units=1,spread=1,first=0".encode()
     ident = b"%016x" % random.getrandbits(64)
     with socket.create_connection((host, int(port)), 5.0) as sock:
         sock.sendall(command([b"Q.DO" if unsafe else b"Q.ASK", b"%016x" % 7, ident, options]))
         answer = read(sock)
-    click.echo(f"{kind_of(answer)}: {answer.decode('utf-8', 'replace').strip()!r}")
+    click.echo(f"{reply_outcome(answer)}: {answer.decode('utf-8', 'replace').strip()!r}")
 
 
 if __name__ == "__main__":
--- a/lab/counter.py
+++ b/lab/counter.py
@@ -1,8 +1,7 @@
-"""The quota counter: a stand-in that keeps numbers by name, and goes wrong on demand.
+"""A test quota counter that keeps totals by name and injects faults on demand.
 
-Names lie on parts. A part serves calls in turn, so many a second, and turns away what its line has no room
-for. Each listener is the way in from one room: parts can be cut off there alone, and it may lead to a store
-of its own.
+Names are hashed to parts. A part serves calls in order at a fixed rate and rejects them once its queue is
+full. Each listener is the entry point of one zone: it can cut off single parts and may have its own store.
 """
 
 from __future__ import annotations
@@ -19,41 +18,41 @@
 
 from lab.accept import Acceptor, reset
 
-MOST_LIFE = 60.0
+MAX_TTL_SECONDS = 60.0
 
 
 @dataclass
-class Number:
-    """A total that is forgotten at a time of the monotonic clock."""
+class StoredTotal:
+    """A total that expires at `until`, monotonic clock."""
 
     total: float
     until: float
 
 
 class Store:
-    """The numbers behind a counter, on parts."""
+    """The totals of a counter, split into parts."""
 
     def __init__(self, parts: int = 1, per_second: float = 800.0, line: float = 0.2) -> None:
-        """`line`: seconds' worth of calls that a part lets wait before it turns calls away."""
+        """`line`: queue length of a part, in seconds of work; a longer wait is rejected."""
         self.parts, self.per_second, self.line = parts, per_second, line
         self.lock = threading.Lock()
-        self.numbers: dict[str, Number] = {}
+        self.numbers: dict[str, StoredTotal] = {}
         self.free_at = [0.0] * parts
         self.calls = 0
-        self.reads: Counter[str] = Counter()  # by name, calls that add nothing
-        self.turned_away = 0
+        self.reads: Counter[str] = Counter()  # by name, calls that add 0
+        self.rejected = 0
 
     def part(self, name: str) -> int:
-        """Where a name lies."""
+        """The part that a name is hashed to."""
         return crc32(name.encode()) % self.parts
 
     def empty(self) -> None:
-        """What it knew is gone, as if another one had taken its place."""
+        """Drops all totals, as if the store had been replaced."""
         with self.lock:
             self.numbers.clear()
 
-    def add(self, name: str, amount: float, life: float) -> tuple[float | None, float]:
-        """The total after a call, or None where it is turned away, and the seconds until its turn is over."""
+    def add(self, name: str, amount: float, ttl: float) -> tuple[float | None, float]:
+        """The total after a call, or None if it is rejected, and the seconds until the call is done."""
         now = time.monotonic()
         with self.lock:
             self.calls += 1
@@ -61,60 +60,67 @@
             part = self.part(name)
             begin = max(now, self.free_at[part])
             if begin - now > self.line:
-                self.turned_away += 1
+                self.rejected += 1
                 return None, 0.0
             self.free_at[part] = begin + 1 / self.per_second
-            number = self.numbers.get(name)
-            if number is None or number.until <= now:
-                number = self.numbers[name] = Number(0.0, now + min(life, MOST_LIFE))
-            number.total += amount
-            return number.total, self.free_at[part] - now
+            stored = self.numbers.get(name)
+            if stored is None or stored.until <= now:
+                stored = self.numbers[name] = StoredTotal(0.0, now + min(ttl, MAX_TTL_SECONDS))
+            stored.total += amount
+            return stored.total, self.free_at[part] - now
 
 
 @dataclass
-class Way:
-    """How the way in from one room is; the default is well."""
-
-    delay: float = 0.0  # seconds more until an answer leaves
-    cut: set[int] = field(default_factory=set)  # parts that nothing comes back from
-    lose: float = 0.0  # part of the answers that never come, though the amount was added
-    spoil: float = 0.0  # part of the answers that hold no number; their connection says no more
-    refuse: bool = False  # connections end at once
+class ServerFaults:
+    """Faults at the entry point of one zone; none by default."""
+
+    delay: float = 0.0  # extra seconds before an answer is sent
+    cut: set[int] = field(default_factory=set)  # parts whose calls are never answered
+    drop_share: float = 0.0  # share of answers never sent, though the amount was added
+    corrupt_share: float = 0.0  # share of answers that hold no number
+    refuse: bool = False  # connections are reset on accept
     seed: int = 0
 
 
-class Door:
-    """A counter's listener."""
+class CounterServer:
+    """A listener of the counter, the entry point of one zone."""
 
-    def __init__(self, store: Store, way: Way | None = None, idle: float = 10.0, most: int = 32) -> None:
-        self.store, self.way, self.idle, self.most = store, way or Way(), idle, most
-        self.chance = random.Random(self.way.seed)
+    def __init__(
+        self, store: Store, faults: ServerFaults | None = None, idle: float = 10.0, max_per_peer: int = 32
+    ) -> None:
+        self.store, self.faults, self.idle, self.max_per_peer = (
+            store,
+            faults or ServerFaults(),
+            idle,
+            max_per_peer,
+        )
+        self.rng = random.Random(self.faults.seed)
         self.lock = threading.Lock()
-        self.held: Counter[str] = Counter()
-        self.socks: set[socket.socket] = set()
+        self.open_by_peer: Counter[str] = Counter()
+        self.connections: set[socket.socket] = set()
         self.acceptor = Acceptor(self._serve)
         self.address = self.acceptor.address
 
-    def __enter__(self) -> Door:
+    def __enter__(self) -> CounterServer:
         return self
 
     def __exit__(self, *_: object) -> None:
         self.close()
 
     def close(self) -> None:
-        """Accepts nothing more and ends what is open."""
+        """Closes the listener and resets open connections."""
         self.acceptor.close()
         with self.lock:
-            socks = list(self.socks)
-        for sock in socks:
+            connections = list(self.connections)
+        for sock in connections:
             reset(sock)
 
     def _serve(self, sock: socket.socket) -> None:
         peer = sock.getpeername()[0]
         with self.lock:
-            self.held[peer] += 1
-            many = self.held[peer] > self.most or self.way.refuse
-            self.socks.add(sock)
+            self.open_by_peer[peer] += 1
+            many = self.open_by_peer[peer] > self.max_per_peer or self.faults.refuse
+            self.connections.add(sock)
         try:
             if many:
                 reset(sock)
@@ -122,12 +128,12 @@
                 self._answer(sock)
         finally:
             with self.lock:
-                self.held[peer] -= 1
-                self.socks.discard(sock)
+                self.open_by_peer[peer] -= 1
+                self.connections.discard(sock)
             sock.close()
 
     def _answer(self, sock: socket.socket) -> None:
-        """Reads calls and lets a second thread answer in order, so that calls behind one another count."""
+        """Reads calls; a second thread answers in order, so that pipelined calls are counted at once."""
         due: deque[tuple[float, bytes | None]] = deque()
         more = threading.Condition()
         writer = threading.Thread(target=self._write, args=(sock, due, more), daemon=True)
@@ -159,7 +165,7 @@
             if answer is None:
                 return
             time.sleep(max(0.0, at - time.monotonic()))
-            if not answer:  # lost, and with it all that comes after it on this connection
+            if not answer:  # dropped, with all later answers on this connection
                 return
             try:
                 sock.sendall(answer)
@@ -167,31 +173,31 @@
                 return
 
     def _call(self, head: bytes) -> tuple[float, bytes | None]:
-        """When an answer leaves, and what it is; empty: never."""
-        way, now = self.way, time.monotonic()
+        """When to send the answer, and the answer; empty: never sent."""
+        faults, now = self.faults, time.monotonic()
         try:
             method, target, _ = head.split(b"\r\n", 1)[0].split(b" ")
             url = urlsplit(target.decode())
             name = url.path.removeprefix("/v1/count/")
             asked = parse_qs(url.query)
-            amount, life = float(asked["add"][0]), int(asked["ttl_ms"][0]) / 1000
-            if method != b"POST" or not 1 <= len(name) <= 64 or life <= 0 or abs(amount) > 1e9:
+            amount, ttl = float(asked["add"][0]), int(asked["ttl_ms"][0]) / 1000
+            if method != b"POST" or not 1 <= len(name) <= 64 or ttl <= 0 or abs(amount) > 1e9:
                 raise ValueError
         except (ValueError, KeyError):
             return now, reply(b"400 Bad Request", b"")
-        if self.store.part(name) in way.cut:
+        if self.store.part(name) in faults.cut:
             return now, b""
-        total, took = self.store.add(name, amount, life)
-        at = now + took + way.delay
+        total, took = self.store.add(name, amount, ttl)
+        at = now + took + faults.delay
         if total is None:
             return at, reply(b"503 Service Unavailable", b"")
         with self.lock:
-            lost, spoilt = self.chance.random() < way.lose, self.chance.random() < way.spoil
+            lost, spoilt = self.rng.random() < faults.drop_share, self.rng.random() < faults.corrupt_share
         if lost:
             return at, b""
         return at, reply(b"200 OK", b"no number" if spoilt else b"%.7g" % total)
 
 
 def reply(status: bytes, body: bytes) -> bytes:
-    """An answer on the wire."""
+    """Encodes an HTTP answer."""
     return b"HTTP/1.1 %b\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body)
--- a/lab/fleet/__main__.py
+++ b/lab/fleet/__main__.py
@@ -1,7 +1,7 @@
 """Plays a schedule on a fleet of real ingresses: python -m lab.fleet SCHEDULE --seed N --plot FILE
 
-SCHEDULE is a file (lab/fleet/schedule.py has its form), `-` for nothing at all, or `draw` for troubles drawn
-from the seed. Prints what held; status 1 where a rule was broken.
+SCHEDULE is a file (lab/fleet/schedule.py describes the format), `-` for no steps, or `draw` for faults drawn
+from the seed. Prints the results; exits with status 1 if a rule was violated.
 """
 
 from __future__ import annotations
@@ -13,19 +13,23 @@
 import polars as pl
 
 from lab.fleet import schedule
-from lab.fleet.record import faults, quotas, record, views
+from lab.fleet.record import faults, membership_agreement, quotas, record
 from lab.fleet.site import Site
 
 
 @click.command()
 @click.argument("what")
-@click.option("--size", default=6, help="Ingresses.")
+@click.option("--size", default=6, help="Number of ingresses.")
 @click.option("--span", default=24.0, help="Seconds of load.")
 @click.option("--seed", default=0)
-@click.option("--view/--no-view", default=True, help="With the fleet's view, or as without the block.")
-@click.option("--store/--no-store", default=False, help="A disk for each ingress that outlives it.")
-@click.option("--plot", type=click.Path(path_type=Path), help="A picture (PNG, SVG or PDF).")
-@click.option("--save", type=click.Path(path_type=Path), help="The record (Parquet).")
+@click.option(
+    "--view/--no-view", default=True, help="With the membership view (the fleet block), or without."
+)
+@click.option(
+    "--store/--no-store", default=False, help="A store folder for each ingress that survives restarts."
+)
+@click.option("--plot", type=click.Path(path_type=Path), help="Write a plot (PNG, SVG or PDF).")
+@click.option("--save", type=click.Path(path_type=Path), help="Write the record (Parquet).")
 def main(
     what: str,
     size: int,
@@ -36,7 +40,7 @@
     plot: Path | None,
     save: Path | None,
 ) -> None:
-    """Plays WHAT on a fleet and says what held."""
+    """Play WHAT on a fleet and print the results."""
     try:
         if what == "draw":
             steps = schedule.draw(seed, size, span)
@@ -52,20 +56,24 @@
     boxes = 3 if streams else 2
     with Site(size, view, boxes, seed, store, streams) as site:
         if view:
-            click.echo(f"one view after {site.until_agreed(10.0):.2f} s")
+            click.echo(f"one view after {site.wait_for_agreement(10.0):.2f} s")
         offset = site.now()
         site.run(steps, span)
-        settled = site.until_agreed(10.0) if view else 0.0
+        settled = site.wait_for_agreement(10.0) if view else 0.0
         table = record(site)
     verdict = quotas(table)
     asked = table.filter(pl.col("what") == "asked")
     ends = ", ".join(f"{row[1]} {row[0]}" for row in asked.group_by("end").len().sort("end").iter_rows())
     click.echo(f"{asked.height} requests: {ends}")
     click.echo(
-        f"use {verdict.use:.2f} of an allowance at most, {verdict.wrong:.1%} refused though inside quota"
+        f"use {verdict.use:.2f} of an allowance at most, "
+        f"{verdict.refused_share:.1%} refused though inside quota"
     )
     if view:
-        click.echo(f"one view since {views(table).since - offset:.1f} s ({settled:.1f} s after the end)")
+        click.echo(
+            f"one view since {membership_agreement(table).since - offset:.1f} s "
+            f"({settled:.1f} s after the end)"
+        )
     if save is not None:
         table.write_parquet(save)
     if plot is not None:
--- a/lab/fleet/simulated.py
+++ b/lab/fleet/simulated.py
@@ -1,6 +1,6 @@
-"""Many members in simulated time: the same decisions as in the ingress, on a network of our own.
+"""Many fleet members in simulated time: the ingress's membership code on a simulated network.
 
-No sockets and no clock but the fleet's. The same seed gives the same run.
+Uses no sockets and no clock but its own. The same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -17,58 +17,58 @@
 
 
 class Members:
-    """So many members, started at once; datagrams take `delay` seconds and get lost by `loss`."""
+    """`size` members, started at once; datagrams take about `delay` seconds; a share of `loss` is lost."""
 
     def __init__(
         self, size: int, seed: int = 0, loss: float = 0.0, delay: float = 0.01, start: bool = True
     ) -> None:
         self.size, self.loss, self.delay = size, loss, delay
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.now, self.serial = 1e6, 0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.live: dict[int, Membership] = {}
-        self.stopped: dict[int, list[tuple[int, bytes]]] = {}  # held still, with what waits for them
+        self.stopped: dict[int, list[tuple[int, bytes]]] = {}  # paused, with the datagrams queued for them
         self.blocked: Callable[[int, int], bool] = lambda sender, to: False
-        self.again = 0.0  # part of the datagrams that come twice, the second one late
-        self.taken: dict[int, list[float]] = {}  # when a member took something in, for its worst second
-        self.lives = 0
+        self.again = 0.0  # share of datagrams duplicated, the copy delayed
+        self.taken: dict[int, list[float]] = {}  # times of accepted datagrams, by member
+        self.start_count = 0
         if start:
             for member_id in range(size):
                 self.start(member_id)
 
     def start(self, member_id: int, at: float | None = None) -> Membership:
-        """A member begins, or begins anew, with nothing known."""
-        self.lives += 1
-        boot_time_ms = round((self.now if at is None else at) * 1000) + self.lives
-        chance = random.Random(self.chance.random())
+        """Starts or restarts a member with no known peers."""
+        self.start_count += 1
+        boot_time_ms = round((self.now if at is None else at) * 1000) + self.start_count
+        rng = random.Random(self.rng.random())
         settings = MemberSettings(member_id, self.size, boot_time_ms, updates_per_datagram(False))
-        membership = Membership(settings, self.now, chance)
+        membership = Membership(settings, self.now, rng)
         self.live[member_id] = membership
         self.stopped.pop(member_id, None)
-        self._after(TICK_SECONDS * chance.random(), lambda: self._tick(member_id, membership))
+        self._after(TICK_SECONDS * rng.random(), lambda: self._tick(member_id, membership))
         return membership
 
     def kill(self, *member_ids: int) -> None:
-        """They end without a message."""
+        """Removes members without a message, as by SIGKILL."""
         for member_id in member_ids:
             del self.live[member_id]
 
     def leave(self, member_id: int) -> None:
-        """One ends in order."""
+        """Shuts a member down in order."""
         self._carry(member_id, self.live[member_id].leave())
         del self.live[member_id]
 
     def hold(self, member_id: int) -> None:
-        """One stands still, as by SIGSTOP; what comes waits."""
+        """Pauses a member, as by SIGSTOP; datagrams to it are queued."""
         self.stopped[member_id] = []
 
-    def go_on(self, member_id: int) -> None:
-        """It goes on, and reads what waited."""
+    def resume(self, member_id: int) -> None:
+        """Resumes a paused member, which then reads the queued datagrams."""
         for sender, content in self.stopped.pop(member_id):
-            self._hear(sender, member_id, content)
+            self._deliver(sender, member_id, content)
 
     def run(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Advances the simulated time."""
         until = self.now + seconds
         while self.queue and self.queue[0][0] <= until:
             self.now, _, call = heapq.heappop(self.queue)
@@ -76,7 +76,7 @@
         self.now = until
 
     def until(self, met: Callable[[], bool], limit: float) -> float:
-        """Seconds until something is so; `limit` where it is not so by then."""
+        """Seconds until a condition is met; `limit` if it is not met by then."""
         began = self.now
         while not met():
             if self.now - began >= limit:
@@ -84,8 +84,8 @@
             self.run(0.1)
         return self.now - began
 
-    def agree(self, alive: set[int] | None = None) -> bool:
-        """All live members hold the live, and nobody else, for alive."""
+    def all_agree(self, alive: set[int] | None = None) -> bool:
+        """True if every live member considers exactly the live members alive."""
         wanted = set(self.live) if alive is None else alive
         return all(membership.alive_ids() == wanted for membership in self.live.values())
 
@@ -106,16 +106,16 @@
             content = encode(send.message, KEY, False)
             assert len(content) <= 256
             to = send.to
-            if self.blocked(sender, to) or self.chance.random() < self.loss:
+            if self.blocked(sender, to) or self.rng.random() < self.loss:
                 continue
-            self._post(sender, to, content, self.delay * self.chance.uniform(0.3, 1.7))
-            if self.chance.random() < self.again:
-                self._post(sender, to, content, self.chance.uniform(0.0, 3.0))
+            self._post(sender, to, content, self.delay * self.rng.uniform(0.3, 1.7))
+            if self.rng.random() < self.again:
+                self._post(sender, to, content, self.rng.uniform(0.0, 3.0))
 
     def _post(self, sender: int, to: int, content: bytes, delay: float) -> None:
-        self._after(delay, lambda: self._hear(sender, to, content))
+        self._after(delay, lambda: self._deliver(sender, to, content))
 
-    def _hear(self, sender: int, to: int, content: bytes) -> None:
+    def _deliver(self, sender: int, to: int, content: bytes) -> None:
         if to in self.stopped:
             self.stopped[to].append((sender, content))
             return
--- a/lab/fleet/site.py
+++ b/lab/fleet/site.py
@@ -1,4 +1,4 @@
-"""A fleet of real ingresses on loopback, callers with tenants in sets, and what a schedule does to them."""
+"""A fleet of real ingresses on loopback, with callers of several tenants, driven by a schedule."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 from zlib import crc32
 
 from lab.box import Box
-from lab.callers import UnheardError, command, kind_of, read
-from lab.datagrams import Datagrams
+from lab.callers import ClosedWithoutReplyError, command, read, reply_outcome
+from lab.datagrams import DatagramProxy
 from lab.discovery import Discovery
 from lab.fleet.schedule import ON_STREAMS, TO_BOXES, Step
-from lab.processes import LIMIT, Ingress
-from lab.quotas import Try
-from lab.streams import Streams
+from lab.processes import WAIT_LIMIT_SECONDS, Ingress
+from lab.quotas import TenantRequest
+from lab.streams import TcpProxy
 
-RATE, BURST = 4.0, 12.0  # of each tenant's plan, in requests of one unit
-NOTICED = (0.9, 3.1)  # seconds for which a front goes on sending to a dead ingress
+RATE, BURST = 4.0, 12.0  # of each tenant's plan; a request is one unit
+FAILURE_DETECTION_SECONDS = (0.9, 3.1)  # range in which a load balancer keeps sending to a dead ingress
 DEADLINE = 3.0
-HEAVY, CALM = 3, 6  # tenants
-WORK = 0.05  # processor seconds of a request at a box of one core, where streams are relayed
-FILE = """
+HEAVY_TENANTS, CALM_TENANTS = 3, 6  # tenants
+REQUEST_CPU_SECONDS = 0.05  # per request at a box of one core, with streams
+SETTINGS_TEMPLATE = """
 name      n{number}
 listen    127.0.0.1:0
 ops       127.0.0.1:0
@@ -57,27 +57,27 @@
 {fleet}
 {store}
 """
-AIM = 1 / 3  # of the deadline
-NETWORK = ("loss", "again", "noise", "delay")
-CHANGE = re.compile(r"^(\d+\.\d+) fleet: place (\d+): .+? -> (\w+)")
+AIM_FRACTION = 1 / 3  # of the deadline
+DATAGRAM_SETTINGS = ("loss", "again", "noise", "delay")
+STATE_CHANGE_LINE = re.compile(r"^(\d+\.\d+) fleet: place (\d+): .+? -> (\w+)")
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
-    """One request: when it was sent, to whom, and how it ended after how long."""
+class RequestRecord:
+    """One request. `at`: when it was sent; `took`: seconds until it ended as `end`."""
 
     at: float
     tenant: str
     member: int
     ident: str
     safe: bool
-    end: str  # served, refused, failed, lost (no whole answer) or down (nobody took the connection)
+    end: str  # served, refused, failed, lost (no complete answer) or down (connection refused)
     took: float
 
 
 @dataclass(slots=True, frozen=True)
 class Deployment:
-    """What the file of all ingresses says of requests; deadlines in seconds."""
+    """Request settings in the file of every ingress; deadlines in seconds."""
 
     look_deadline: float = DEADLINE
     change_deadline: float = DEADLINE
@@ -87,12 +87,12 @@
 
     @property
     def longest_deadline(self) -> float:
-        """Seconds: what a shutdown goes by."""
+        """The deadline in seconds that a shutdown goes by."""
         return max(self.look_deadline, self.change_deadline)
 
 
 class Site:
-    """Starts the fleet; all of it ends with the site. Times are seconds since `begin`."""
+    """Starts a fleet and stops all of it on exit. Times are seconds since `begin`."""
 
     def __init__(
         self,
@@ -103,38 +103,38 @@
         store: bool = False,
         streams: bool = False,
         deployment: Deployment | None = None,
-        work: float = WORK,
+        work: float = REQUEST_CPU_SECONDS,
         cores: float = 1.0,
         relayed: bool = True,
     ) -> None:
-        """`store`: each ingress has a disk that outlives it. `streams`: it finds boxes by discovery, and both
-        by way of a relay; boxes have so many cores each then, a request takes `work` seconds of one. Where
-        they are not `relayed` only discovery is, and boxes are met at their own addresses.
+        """`store`: each ingress has a store folder that survives restarts. `streams`: ingresses find boxes by
+        discovery and reach both through a TCP proxy; boxes then have `cores` cores each, and a request takes
+        `work` CPU seconds. Without `relayed` only discovery is proxied, and boxes are reached directly.
         """
         self.deployment, self.relayed = deployment or Deployment(), relayed
         self.size, self.view, self.seed, self.store = size, view, seed, store
         self.stack = ExitStack()
         self.folder = Path(self.stack.enter_context(tempfile.TemporaryDirectory()))
-        self.network = self.stack.enter_context(Datagrams(size, seed=seed))
+        self.network = self.stack.enter_context(DatagramProxy(size, seed=seed))
         work, cores = (work, cores) if streams else (0.0, 0.0)
         self.boxes = [self.stack.enter_context(Box(work=work, cores=cores)) for _ in range(boxes)]
-        self.streams: Streams | None = None
-        # one for each ingress, as each sees the boxes at the relay's addresses for it
-        self.lists = [self.stack.enter_context(Discovery(0.5)) for _ in range(size if streams else 0)]
+        self.streams: TcpProxy | None = None
+        # one per ingress, since each sees the boxes at its own proxy addresses
+        self.discoveries = [self.stack.enter_context(Discovery(0.5)) for _ in range(size if streams else 0)]
         if streams:
-            ends = [box.address for box in self.boxes] + [one.address for one in self.lists]
-            self.streams = self.stack.enter_context(Streams(size, ends))
+            endpoints = [box.address for box in self.boxes] + [one.address for one in self.discoveries]
+            self.streams = self.stack.enter_context(TcpProxy(size, endpoints))
             for number in range(boxes):
-                self._tell(number)
+                self._publish_box(number)
         self.live: dict[int, Ingress] = {}
         self.addresses: dict[int, tuple[str, int]] = {}
-        self.lives: list[tuple[int, float, Ingress]] = []  # member, when it began, its process
-        self.ends: list[tuple[int, float]] = []  # of lives, by member
+        self.process_runs: list[tuple[int, float, Ingress]] = []  # member, start time, process
+        self.process_ends: list[tuple[int, float]] = []  # member, exit time
         self.down_since: dict[int, float] = {}
-        self.killed: set[int] = set()  # what was under way there may have run
-        self.asked: list[Asked] = []
-        self.runs = 0  # so many spans were played
-        self.done: list[tuple[float, Step]] = []
+        self.killed: set[int] = set()  # requests in flight there may have run
+        self.asked: list[RequestRecord] = []
+        self.runs = 0  # number of spans played
+        self.executed_steps: list[tuple[float, Step]] = []
         self.begin = time.time()
         try:
             self.start(*range(size))
@@ -154,47 +154,47 @@
         """Seconds since the site began."""
         return time.time() - self.begin
 
-    # What a schedule does.
+    # Steps of a schedule.
 
     def start(
         self, *members: int, module: str = "standflow", environment: dict[str, str] | None = None
     ) -> None:
-        """Ingresses by their numbers, all at once, with nothing kept of an earlier life but for the store.
+        """Starts ingresses by number, all at once; of an earlier run only the store is kept.
 
-        `module` is what starts them, with this `environment` beside their own.
+        `module`: the Python module to run, with `environment` added to the inherited one.
         """
         for member in members:
             self.configure(member, self.deployment)
             path = self.folder / f"{member}.conf"
             self.live[member] = ingress = Ingress(path, environment=environment, module=module)
             self.stack.callback(ingress.end)
-            self.lives.append((member, self.now(), ingress))
+            self.process_runs.append((member, self.now(), ingress))
         for member in members:
             self.addresses[member] = self.live[member].address()
             self.down_since.pop(member, None)
             self.killed.discard(member)
 
     def configure(self, member: int, deployment: Deployment, watched: int | None = None) -> None:
-        """Writes an ingress's file; `watched`: by whose list it finds boxes, by default its own."""
+        """Writes an ingress's file; `watched`: whose discovery it follows, by default its own."""
         lines = ["peer-listen {}:{}".format(*self.network.real[member])]
-        lines += ["peer {}:{}".format(*address) for address in self.network.seen_by(member)]
+        lines += ["peer {}:{}".format(*address) for address in self.network.addresses_for(member)]
         hops = [
             "next-hop s-{} {{\n    address {}:{}\n}}".format(n, *box.address)
             for n, box in enumerate(self.boxes)
         ]
         if self.streams is not None:
             watched = member if watched is None else watched
-            hops = ["discovery {}:{}".format(*self.streams.seen_by(member)[len(self.boxes) + watched])]
+            hops = ["discovery {}:{}".format(*self.streams.addresses_for(member)[len(self.boxes) + watched])]
         (self.folder / f"{member}.conf").write_text(
-            FILE.format(
+            SETTINGS_TEMPLATE.format(
                 number=member,
                 ingresses=self.size,
                 rate=deployment.rate,
                 burst=deployment.burst,
                 sockets=deployment.sockets,
-                look_aim=_milliseconds(AIM * deployment.look_deadline),
+                look_aim=_milliseconds(AIM_FRACTION * deployment.look_deadline),
                 look_deadline=_milliseconds(deployment.look_deadline),
-                change_aim=_milliseconds(AIM * deployment.change_deadline),
+                change_aim=_milliseconds(AIM_FRACTION * deployment.change_deadline),
                 change_deadline=_milliseconds(deployment.change_deadline),
                 peers="\n".join(lines),
                 boxes="\n".join(hops),
@@ -204,42 +204,42 @@
         )
 
     def disk(self, member: int) -> Path:
-        """Where an ingress's store lies."""
+        """The folder of an ingress's store."""
         return self.folder / f"disk-{member}"
 
     def kill(self, *members: int) -> None:
-        """SIGKILL, all at once."""
+        """Sends SIGKILL to all at once."""
         for member in members:
             self.down_since[member] = self.now()
             self.killed.add(member)
-            self.ends.append((member, self.now()))
+            self.process_ends.append((member, self.now()))
             self.live[member].process.kill()
         for member in members:
             self.live.pop(member).process.wait()
 
     def stop(self, *members: int) -> None:
-        """SIGTERM."""
+        """Sends SIGTERM and waits for the exits."""
         for member in members:
             self.down_since[member] = self.now()
             self.live[member].signal(signal.SIGTERM)
         for member in members:
-            self.live.pop(member).process.wait(LIMIT)
-            self.ends.append((member, self.now()))
+            self.live.pop(member).process.wait(WAIT_LIMIT_SECONDS)
+            self.process_ends.append((member, self.now()))
 
     def do(self, step: Step) -> None:
-        """Carries one step out."""
+        """Executes one step."""
         members, others = set(step.members), set(range(self.size)) - set(step.members)
         if step.what == "cut":
-            self.network.part(members, others)
+            self.network.partition(members, others)
         elif step.what == "block":
             self.network.blocked |= {(a, b) for a in members for b in members if a != b}
         elif step.what == "mute":
             self.network.blocked |= {(a, b) for a in members for b in others}
         elif step.what == "heal":
-            self.network.part()
+            self.network.partition()
         elif step.what in ("kill", "start", "stop"):
-            there = [m for m in step.members if (m in self.live) != (step.what == "start")]
-            getattr(self, step.what)(*there)
+            affected = [m for m in step.members if (m in self.live) != (step.what == "start")]
+            getattr(self, step.what)(*affected)
         elif step.what == "hold":
             for ingress in [self.live[m] for m in step.members if m in self.live]:
                 ingress.signal(signal.SIGSTOP)
@@ -257,69 +257,77 @@
             for number in step.members:
                 if step.what == "back":
                     self.boxes[number].restart()
-                self._tell(number, "DRAINING" if step.what == "drain" else "SERVING")
-        elif step.what in NETWORK:
+                self._publish_box(number, "DRAINING" if step.what == "drain" else "SERVING")
+        elif step.what in DATAGRAM_SETTINGS:
             setattr(self.network, step.what, step.amount)
         else:
             raise ValueError(f"{step.what} needs a site with streams")
-        self.done.append((self.now(), step))
+        self.executed_steps.append((self.now(), step))
 
-    def _tell(self, number: int, phase: str = "SERVING") -> None:
-        """Discovery's word on a box, to each ingress with the address at which that one sees it."""
-        for member, one in enumerate(self.lists):
+    def _publish_box(self, number: int, phase: str = "SERVING") -> None:
+        """Publishes a box in every discovery, with the address at which that ingress sees the box."""
+        for member, one in enumerate(self.discoveries):
             assert self.streams is not None
-            address = self.streams.seen_by(member)[number] if self.relayed else self.boxes[number].address
-            one.tell(f"s-{number}", address, phase, up_since=self.boxes[number].started)
+            address = (
+                self.streams.addresses_for(member)[number] if self.relayed else self.boxes[number].address
+            )
+            one.publish(f"s-{number}", address, phase, up_since=self.boxes[number].started)
 
     def run(self, steps: list[Step], span: float, load: bool = True) -> None:
-        """Plays a schedule, with callers all the while; may be called again, and the next span follows."""
+        """Plays a schedule under load; each further call plays another span."""
         self.runs += 1
         began = self.now()
-        askers = [threading.Thread(target=self._ask, args=(n, span), daemon=True) for n in range(self.size)]
-        for asker in askers if load else ():
-            asker.start()
+        caller_threads = [
+            threading.Thread(target=self._run_callers, args=(n, span), daemon=True) for n in range(self.size)
+        ]
+        for caller_thread in caller_threads if load else ():
+            caller_thread.start()
         for step in steps:
             time.sleep(max(0.0, began + step.at - self.now()))
             self.do(step)
         time.sleep(max(0.0, began + span - self.now()))
-        for asker in askers if load else ():
-            asker.join(span + LIMIT)
-            assert not asker.is_alive()  # a history cut short proves nothing
+        for caller_thread in caller_threads if load else ():
+            caller_thread.join(span + WAIT_LIMIT_SECONDS)
+            assert not caller_thread.is_alive()  # a truncated history proves nothing
 
-    # Callers: one thread for what the fronts deal out to one ingress.
+    # Callers: one thread for the load that the load balancers send to one ingress.
 
     def tenants(self) -> dict[str, float]:
-        """Each tenant and how many times its rate it asks for."""
-        return {f"heavy{n}": 2.0 for n in range(HEAVY)} | {f"calm{n}": 0.3 for n in range(CALM)}
+        """Each tenant with its load as a multiple of its rate."""
+        return {f"heavy{n}": 2.0 for n in range(HEAVY_TENANTS)} | {
+            f"calm{n}": 0.3 for n in range(CALM_TENANTS)
+        }
 
-    def _ask(self, number: int, span: float) -> None:
+    def _run_callers(self, number: int, span: float) -> None:
         span_name = "" if self.runs == 1 else f"r{self.runs}"
-        chance = random.Random(f"{self.seed} {number}{span_name}")
+        rng = random.Random(f"{self.seed} {number}{span_name}")
         due = sorted(
             (at, tenant)
             for tenant, times in self.tenants().items()
-            for at in _arrivals(chance, span, times * RATE / self.size)
+            for at in _arrivals(rng, span, times * RATE / self.size)
         )
-        socks: dict[int, socket.socket] = {}
+        connections: dict[int, socket.socket] = {}
         began = time.monotonic()
         for serial, (at, tenant) in enumerate(due):
             time.sleep(max(0.0, began + at - time.monotonic()))
-            member = self._dealt(number, chance)
-            ident, safe = f"{self.seed:x}{span_name}n{number}s{serial}", chance.random() < 0.8
+            member = self._choose_member(number, rng)
+            ident, safe = f"{self.seed:x}{span_name}n{number}s{serial}", rng.random() < 0.8
             sent, begun = self.now(), time.monotonic()
-            end = self._one(socks, member, tenant, ident, safe)
-            self.asked.append(Asked(sent, tenant, member, ident, safe, end, time.monotonic() - begun))
-        for sock in socks.values():
+            end = self._send_request(connections, member, tenant, ident, safe)
+            self.asked.append(RequestRecord(sent, tenant, member, ident, safe, end, time.monotonic() - begun))
+        for sock in connections.values():
             sock.close()
 
-    def _dealt(self, number: int, chance: random.Random) -> int:
-        """The front goes on sending to a dead ingress until it notices."""
-        notice = random.Random(f"{number} {self.down_since.get(number)}").uniform(*NOTICED)
+    def _choose_member(self, number: int, rng: random.Random) -> int:
+        """Picks an ingress as a load balancer does: a dead one is used until its failure is detected."""
+        notice = random.Random(f"{number} {self.down_since.get(number)}").uniform(*FAILURE_DETECTION_SECONDS)
         if self.now() - self.down_since.get(number, self.now()) < notice or len(self.down_since) >= self.size:
             return number
-        return chance.choice([m for m in range(self.size) if m not in self.down_since] or [number])
+        return rng.choice([m for m in range(self.size) if m not in self.down_since] or [number])
 
-    def _one(self, socks: dict[int, socket.socket], member: int, tenant: str, ident: str, safe: bool) -> str:
+    def _send_request(
+        self, connections: dict[int, socket.socket], member: int, tenant: str, ident: str, safe: bool
+    ) -> str:
         options = b"c=%b,t=plain,d=%d,units=1,spread=%d,first=0" % (
             b"look" if safe else b"change",
             round(DEADLINE * 1000),
@@ -327,49 +335,49 @@
         )
         name = b"Q.ASK" if safe else b"Q.DO"
         text = command([name, b"%016x" % crc32(tenant.encode()), ident.encode(), options])
-        if member in socks and select.select([socks[member]], [], [], 0)[0]:
-            socks.pop(member).close()  # it was closed meanwhile, and nothing crosses that
-        for kept in (True, False) if member in socks else (False,):
+        if member in connections and select.select([connections[member]], [], [], 0)[0]:
+            connections.pop(member).close()  # closed while idle: reconnects before sending
+        for reused in (True, False) if member in connections else (False,):
             try:
-                if not kept:
-                    socks[member] = socket.create_connection(self.addresses[member], 1.0)
-                    socks[member].settimeout(DEADLINE + 1.0)
-                    socks[member].setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                socks[member].sendall(text)
-                return kind_of(read(socks[member]))
+                if not reused:
+                    connections[member] = socket.create_connection(self.addresses[member], 1.0)
+                    connections[member].settimeout(DEADLINE + 1.0)
+                    connections[member].setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                connections[member].sendall(text)
+                return reply_outcome(read(connections[member]))
             except OSError as error:
-                if member in socks:
-                    socks.pop(member).close()
+                if member in connections:
+                    connections.pop(member).close()
                 if isinstance(error, ConnectionRefusedError):
                     return "down"
-                # closed between two commands as this one crossed it: sent once more, on a new connection
-                crossed = isinstance(error, UnheardError) and member not in self.killed
-                if not kept or not crossed:
+                # The request crossed a close between two commands: it is sent once more on a new connection.
+                crossed = isinstance(error, ClosedWithoutReplyError) and member not in self.killed
+                if not reused or not crossed:
                     return "lost"
         return "lost"
 
-    # What is seen of it.
+    # Observations.
 
-    def tries(self) -> list[Try]:
-        """The tenants' history, for lab.quotas.judge."""
+    def quota_history(self) -> list[TenantRequest]:
+        """The tenants' history, for lab.quotas.evaluate_quotas."""
         return [
-            Try(one.at, one.tenant, 1.0, one.end == "served")
+            TenantRequest(one.at, one.tenant, 1.0, one.end == "served")
             for one in self.asked
             if one.end in ("served", "refused")
         ]
 
     def changes(self) -> list[tuple[float, int, int, str]]:
-        """From the logs: when, whose view, of which place, and what it is held for now."""
+        """Membership changes from the logs: time, observing member, member id and new state."""
         found = []
-        for member, began, ingress in self.lives:
+        for member, began, ingress in self.process_runs:
             found.append((began, member, member, "began"))
             for line in list(ingress.log):
-                if (match := CHANGE.match(line)) is not None and int(match[2]) != member:
+                if (match := STATE_CHANGE_LINE.match(line)) is not None and int(match[2]) != member:
                     found.append((float(match[1]) - self.begin, member, int(match[2]), match[3]))
-        return sorted(found, key=lambda change: change[0])  # within a moment as they were logged
+        return sorted(found, key=lambda change: change[0])  # stable: equal times stay in log order
 
-    def views(self) -> dict[int, set[int]]:
-        """Whom each live ingress holds for present."""
+    def membership_views(self) -> dict[int, set[int]]:
+        """The members that each live ingress considers alive."""
         views: dict[int, set[int]] = {}
         for _, member, place, state in self.changes():
             if state == "began":
@@ -380,14 +388,14 @@
                 views[member].discard(place)
         return {member: view for member, view in views.items() if member in self.live}
 
-    def agree(self) -> bool:
-        """All live ingresses hold the live, and nobody else, for present."""
-        return all(view == set(self.live) for view in self.views().values())
+    def all_agree(self) -> bool:
+        """True if every live ingress considers exactly the live ingresses alive."""
+        return all(view == set(self.live) for view in self.membership_views().values())
 
-    def until_agreed(self, limit: float) -> float:
-        """Seconds until they do; `limit` where they don't by then."""
+    def wait_for_agreement(self, limit: float) -> float:
+        """Seconds until all agree; `limit` if they don't by then."""
         began = time.monotonic()
-        while not self.agree():
+        while not self.all_agree():
             if time.monotonic() - began > limit:
                 return limit
             time.sleep(0.05)
@@ -398,8 +406,8 @@
     return f"{seconds * 1000:.0f}ms"
 
 
-def _arrivals(chance: random.Random, span: float, rate: float) -> list[float]:
+def _arrivals(rng: random.Random, span: float, rate: float) -> list[float]:
     at, times = 0.0, []
-    while (at := at + chance.expovariate(rate)) < span:
+    while (at := at + rng.expovariate(rate)) < span:
         times.append(at)
     return times
--- a/lab/quotas.py
+++ b/lab/quotas.py
@@ -1,7 +1,7 @@
-"""Checks the promise on quotas against the truth: what ran for each tenant, and what was refused. No I/O.
+"""Checks quota enforcement against an ideal token bucket per tenant. No I/O.
 
-The truth is a store that sees every try at once and in order: a bucket of `burst` units that fills at `rate`
-a second. What such a store would have let in was inside quota, whoever was asked.
+The ideal bucket sees every request at once and in order; it holds `burst` units and fills at `rate` a second.
+What it admits was inside quota, no matter which ingress decided.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-WINDOW = 10.0  # seconds of the promise
+WINDOW_SECONDS = 10.0  # over which the promise on use is given
 
 
 @dataclass(slots=True, frozen=True)
-class Try:
-    """One request of a tenant, answered at `at` seconds: its units ran, or were refused."""
+class TenantRequest:
+    """One request of a tenant, answered at `at` seconds: its units ran or were refused."""
 
     at: float
     tenant: str
@@ -24,73 +24,73 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Verdict:
-    """Of all tenants, units: how far use went, and what was refused though it was inside quota."""
+class QuotaReport:
+    """Greatest use of an allowance, and units refused inside quota, over all tenants."""
 
     tenants: int
-    use: float  # greatest of any tenant over any 10 s, as a part of the allowance
-    worst: str  # that tenant
-    inside: float  # units that a store which sees everything lets in
-    short: float  # of them, units that did not run
-    calm: float  # units asked for by tenants that were inside quota throughout
-    refused_calm: float  # of them, units that did not run
+    use: float  # greatest of any tenant over any 10 s, as a fraction of the allowance
+    worst_tenant: str  # the tenant with that use
+    within_quota: float  # units that the ideal bucket admits
+    shortfall: float  # of these, units that did not run
+    compliant: float  # units requested by tenants that stayed inside quota throughout
+    refused_compliant: float  # of these, units that did not run
 
     @property
-    def wrong(self) -> float:
-        """The part of what was inside quota that was refused."""
-        return self.short / self.inside if self.inside else 0.0
+    def refused_share(self) -> float:
+        """The fraction of units inside quota that was refused."""
+        return self.shortfall / self.within_quota if self.within_quota else 0.0
 
     @property
-    def wrong_calm(self) -> float:
-        """The same for tenants that never asked for more than their quota."""
-        return self.refused_calm / self.calm if self.calm else 0.0
+    def compliant_refused_share(self) -> float:
+        """The same for tenants that never requested more than their quota."""
+        return self.refused_compliant / self.compliant if self.compliant else 0.0
 
 
-def judge(history: Iterable[Try], rate: float, burst: float) -> Verdict:
-    """The verdict on a history in any order. ValueError where the plan allows nothing."""
-    allowance = burst + WINDOW * rate
+def evaluate_quotas(history: Iterable[TenantRequest], rate: float, burst: float) -> QuotaReport:
+    """The report on a history in any order. ValueError if the plan allows nothing."""
+    allowance = burst + WINDOW_SECONDS * rate
     if allowance <= 0:
         raise ValueError("a plan without an allowance can't be judged")
-    of: dict[str, list[Try]] = defaultdict(list)
+    of: dict[str, list[TenantRequest]] = defaultdict(list)
     for one in history:
         of[one.tenant].append(one)
-    use, worst, inside, short, calm, refused_calm = 0.0, "", 0.0, 0.0, 0.0, 0.0
-    for tenant, tries in of.items():
-        tries.sort(key=lambda one: one.at)
-        most = _most(tries) / allowance
+    use, worst_tenant, within_quota, shortfall, compliant, refused_compliant = 0.0, "", 0.0, 0.0, 0.0, 0.0
+    for tenant, requests in of.items():
+        requests.sort(key=lambda one: one.at)
+        most = _peak_window_units(requests) / allowance
         if most > use:
-            use, worst = most, tenant
-        ideal = _ideal(tries, rate, burst)
-        asked, ran = sum(one.units for one in tries), sum(one.units for one in tries if one.ran)
-        inside += ideal
-        short += max(0.0, ideal - ran)
+            use, worst_tenant = most, tenant
+        ideal = _ideal_units(requests, rate, burst)
+        asked, ran = sum(one.units for one in requests), sum(one.units for one in requests if one.ran)
+        within_quota += ideal
+        shortfall += max(0.0, ideal - ran)
         if ideal == asked:
-            calm += asked
-            refused_calm += asked - ran
-    return Verdict(len(of), use, worst, inside, short, calm, refused_calm)
+            compliant += asked
+            refused_compliant += asked - ran
+    return QuotaReport(len(of), use, worst_tenant, within_quota, shortfall, compliant, refused_compliant)
 
 
-def _most(tries: Sequence[Try]) -> float:
-    """Most units that ran within any window; one that ran a whole window ago is outside."""
-    held: deque[Try] = deque()
+def _peak_window_units(requests: Sequence[TenantRequest]) -> float:
+    """Most units that ran within any window; a request exactly one window old is outside."""
+    window: deque[TenantRequest] = deque()
     total = most = 0.0
-    for one in tries:
+    for one in requests:
         if not one.ran:
             continue
-        held.append(one)
+        window.append(one)
         total += one.units
-        while held[0].at <= one.at - WINDOW:
-            total -= held.popleft().units
+        while window[0].at <= one.at - WINDOW_SECONDS:
+            total -= window.popleft().units
         most = max(most, total)
     return most
 
 
-def _ideal(tries: Sequence[Try], rate: float, burst: float) -> float:
-    """Units that the store which sees everything lets in."""
-    room, at, let_in = burst, tries[0].at, 0.0
-    for one in tries:
-        room, at = min(burst, room + (one.at - at) * rate), one.at
-        if one.units <= room:
-            room -= one.units
-            let_in += one.units
-    return let_in
+def _ideal_units(requests: Sequence[TenantRequest], rate: float, burst: float) -> float:
+    """Units that the ideal bucket admits."""
+    available, at, admitted = burst, requests[0].at, 0.0
+    for one in requests:
+        available, at = min(burst, available + (one.at - at) * rate), one.at
+        if one.units <= available:
+            available -= one.units
+            admitted += one.units
+    return admitted
--- a/lab/shutdown.py
+++ b/lab/shutdown.py
@@ -1,8 +1,8 @@
-"""A planned restart as the platform does it: SIGTERM, clients that go on sending, SIGKILL when it may come.
+"""A planned restart as the platform performs it: SIGTERM, clients that keep sending, then SIGKILL.
 
-The clients' side of one ingress is recorded: what was sent when, counted from SIGTERM, and what came back
-until the process was killed. A request is lost if it has no whole answer, unless its connection had been
-ended in order when it was sent (then its client sends it once more elsewhere) and no backend got it.
+Records the client side of one ingress: when each request was sent, relative to SIGTERM, and what was received
+until the process was killed. A request is lost if it has no complete answer, unless its connection had been
+closed in order by the time it was sent (its client then retries elsewhere) and no backend received it.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 
 from lab.callers import command
 
-LONGEST_COUNTED = 3.0  # seconds that a longest deadline counts as at most (protocol page, planned restarts)
-KILL_AFTER = 0.7  # seconds beyond it after which SIGKILL may come, from SIGTERM
-CROSSING = 0.02  # seconds before a connection's end in which what was sent has crossed it
-AFTER_KILL = 0.3  # seconds in which what was written before SIGKILL is read
+MAX_COUNTED_DEADLINE_SECONDS = 3.0  # cap on the longest deadline (protocol page, planned restarts)
+KILL_DELAY_SECONDS = 0.7  # from SIGTERM, on top of the capped deadline
+IN_FLIGHT_SECONDS = 0.02  # sent this long before a close, a request may cross the close on the wire
+READ_AFTER_KILL_SECONDS = 0.3  # drains what the process wrote before SIGKILL
 
 
 def kill_time(longest_deadline: float) -> float:
-    """Seconds from SIGTERM to the earliest SIGKILL, for a deployment's longest deadline in seconds."""
-    return min(longest_deadline, LONGEST_COUNTED) + KILL_AFTER
+    """Seconds from SIGTERM to the earliest SIGKILL, given the deployment's longest deadline in seconds."""
+    return min(longest_deadline, MAX_COUNTED_DEADLINE_SECONDS) + KILL_DELAY_SECONDS
 
 
-def starved_seconds(pid: int) -> float:
-    """How long a process has been ready to run and had no processor; 0 where the kernel does not count it.
+def run_queue_wait_seconds(pid: int) -> float:
+    """Seconds that a process was runnable without a CPU; 0 where the kernel does not count it.
 
-    SIGKILL is put off by that, so that no verdict depends on what else the machine does.
+    SIGKILL is delayed by this, so that the result does not depend on other load on the machine.
     """
     try:
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
@@ -45,38 +45,38 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """A request to be sent, `at` seconds from SIGTERM. `patience`: seconds; None as for all others."""
+    """A request to send `at` seconds from SIGTERM. `timeout`: seconds; None for the default of the run."""
 
     at: float
     safe: bool
-    tenant: int | None = None  # None: one of its own
-    patience: float | None = None
+    tenant: int | None = None  # None: a new tenant for this request
+    timeout: float | None = None
 
 
 @dataclass(slots=True)
 class Sent:
-    """One request; times in seconds from SIGTERM."""
+    """A request that was sent; times in seconds from SIGTERM."""
 
     ident: str
     safe: bool
     at: float
     tenant: int = 0
-    patience: float = 0.0
+    timeout: float = 0.0
     answer: bytes = b""
     answered_at: float | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Client:
-    """One connection and the requests on it, in their order. `leaves_at`: it closes, whatever is open.
+    """One connection and its requests, in order. `disconnects_at`: closes then, even with requests open.
 
-    `stays`: it is not closed when the ingress ends it, but kept until SIGKILL.
+    `open_until_kill`: after the ingress closes the connection, the client keeps its side open until SIGKILL.
     """
 
     sends: list[Send]
     connects_at: float = -1.0
-    leaves_at: float | None = None
-    stays: bool = False
+    disconnects_at: float | None = None
+    open_until_kill: bool = False
     sock: socket.socket | None = None
     sent: list[Sent] = field(default_factory=list)
     connected_at: float | None = None
@@ -87,13 +87,13 @@
 
 @dataclass(slots=True)
 class Shutdown:
-    """What came of one planned restart."""
+    """The result of one planned restart."""
 
     sent: list[Sent]
     lost: list[Sent]
-    reset: int  # connections that ended with a reset before SIGKILL
-    ended_at: float | None  # when the process ended by itself, seconds from SIGTERM; None: it was killed
-    terminated: float = 0.0  # when SIGTERM was sent, of the monotonic clock
+    reset: int  # connections reset before SIGKILL
+    ended_at: float | None  # when the process exited by itself, seconds from SIGTERM; None: it was killed
+    terminated: float = 0.0  # when SIGTERM was sent, monotonic clock
     killed_at: float = 0.0  # when SIGKILL was sent, seconds from SIGTERM
 
 
@@ -105,42 +105,45 @@
     wait: float,
     arrived: Collection[str],
     signals: Iterable[tuple[float, int]] = (),
-    put_off: bool = True,
+    extend_by_starvation: bool = True,
     first_serial: int = 0,
     spread: int = 1,
     prepare: Callable[[float, int], None] = lambda at, number: None,
 ) -> Shutdown:
-    """Plays the clients against an ingress that gets SIGTERM at second 0 and SIGKILL when it may come.
+    """Runs the clients against an ingress that gets SIGTERM at second 0 and SIGKILL at the earliest time.
 
-    `wait`: seconds that each client says it waits; `arrived`: filled by backends with the ids they got;
-    `signals`: further ones, by their time; `prepare` is called before each. `put_off`: SIGKILL waits for as
-    long as the process was starved. `first_serial`: ids of requests follow it;
-    `spread`: ingresses of each tenant.
+    `wait`: timeout in seconds that clients send by default; `arrived`: filled by backends with the request
+    ids they received; `signals`: additional ones, as (time, number); `prepare` is called before each.
+    `extend_by_starvation`: delays SIGKILL by the time that the process waited for a CPU. `first_serial`:
+    request ids count up from it; `spread`: ingresses per tenant.
     """
-    play = _Play(address, clients, wait, first_serial, spread)
+    loop = _ClientLoop(address, clients, wait, first_serial, spread)
     begin = min([client.connects_at for client in clients] + [0.0])
-    play.zero = time.monotonic() - begin
+    loop.origin = time.monotonic() - begin
     due = sorted([(0.0, int(signal.SIGTERM)), *signals])
     kill_at, ended_at, terminated = kill_time(longest_deadline), None, 0.0
-    starved = starved_seconds(process.pid)
-    while (now := play.now()) < kill_at + put_off * (starved_seconds(process.pid) - starved):
+    starved = run_queue_wait_seconds(process.pid)
+    while (now := loop.now()) < kill_at + extend_by_starvation * (
+        run_queue_wait_seconds(process.pid) - starved
+    ):
         while due and due[0][0] <= now:
             at, number = due.pop(0)
             prepare(at, number)
             process.send_signal(number)
-            if number == signal.SIGCONT or at == 0.0:  # told later, or held up longer, than was meant
-                kill_at += play.now() - at
+            # Sent late, or the process was stopped for longer than planned.
+            if number == signal.SIGCONT or at == 0.0:
+                kill_at += loop.now() - at
             if at == 0.0:
-                terminated = play.now() + play.zero
-        play.step(0.002)
+                terminated = loop.now() + loop.origin
+        loop.step(0.002)
         if ended_at is None and now > 0 and process.poll() is not None:
-            ended_at = play.now()
+            ended_at = loop.now()
     process.kill()
-    killed_at = play.now()
+    killed_at = loop.now()
     process.wait()
-    while play.now() < killed_at + AFTER_KILL:
-        play.read(0.01)
-    play.close()
+    while loop.now() < killed_at + READ_AFTER_KILL_SECONDS:
+        loop.read(0.01)
+    loop.close()
     everything = [sent for client in clients for sent in client.sent]
     lost = [sent for client in clients for sent in client.sent if _lost(client, sent, arrived)]
     reset = sum(client.ended_by == "reset" and (client.ended_at or 0) < kill_at for client in clients)
@@ -151,49 +154,51 @@
     if sent.answered_at is not None:
         return False
     in_order = client.ended_by == "closed" and client.ended_at is not None
-    return not in_order or sent.at < (client.ended_at or 0.0) - CROSSING or sent.ident in arrived
+    return not in_order or sent.at < (client.ended_at or 0.0) - IN_FLIGHT_SECONDS or sent.ident in arrived
 
 
-class _Play:
-    """All clients in one thread."""
+class _ClientLoop:
+    """Event loop that runs all clients on one thread."""
 
     def __init__(
         self, address: tuple[str, int], clients: list[Client], wait: float, first_serial: int, spread: int
     ) -> None:
         self.address, self.clients, self.wait, self.spread = address, clients, wait, spread
-        self.zero = 0.0
+        self.origin = 0.0
         self.serial = first_serial
         self.selector = selectors.DefaultSelector()
-        self.kept: list[socket.socket] = []  # ended by the ingress, of clients that stay
+        self.closed_by_ingress: list[
+            socket.socket
+        ] = []  # closed by the ingress, of clients with open_until_kill
         self.due: list[tuple[float, int, Callable[[], None]]] = []  # a heap
-        self.order = itertools.count()  # of what is due at one moment
+        self.order = itertools.count()  # tie-breaker for equal times
         for client in clients:
-            self._plan(client)
+            self._schedule_client(client)
 
     def now(self) -> float:
-        return time.monotonic() - self.zero
+        return time.monotonic() - self.origin
 
     def step(self, pause: float) -> None:
-        """Connects, sends and leaves as is due, and reads what has come."""
+        """Performs the actions that are due, then reads what was received."""
         while self.due and self.due[0][0] <= self.now():
             _, _, act = heapq.heappop(self.due)
             act()
         self.read(pause)
 
-    def _plan(self, client: Client) -> None:
-        """All that a client will do, by its time; nobody is looked at before that."""
-        self._plan_at(client.connects_at, lambda: self._connect(client))
+    def _schedule_client(self, client: Client) -> None:
+        """Schedules all actions of a client, so that idle clients cost nothing per step."""
+        self._schedule(client.connects_at, lambda: self._connect(client))
         for send in client.sends:
-            self._plan_at(max(send.at, client.connects_at), lambda send=send: self._send(client, send))  # type: ignore[misc]
-        if client.leaves_at is not None:
-            self._plan_at(client.leaves_at, lambda: self._leave(client))
+            self._schedule(max(send.at, client.connects_at), lambda send=send: self._send(client, send))  # type: ignore[misc]
+        if client.disconnects_at is not None:
+            self._schedule(client.disconnects_at, lambda: self._disconnect(client))
 
-    def _plan_at(self, at: float, act: Callable[[], None]) -> None:
+    def _schedule(self, at: float, act: Callable[[], None]) -> None:
         heapq.heappush(self.due, (at, next(self.order), act))
 
-    def _leave(self, client: Client) -> None:
+    def _disconnect(self, client: Client) -> None:
         if client.sock is not None:
-            self._ended(client, "left")
+            self._close(client, "left")
 
     def _connect(self, client: Client) -> None:
         try:
@@ -207,26 +212,26 @@
         self.selector.register(client.sock, selectors.EVENT_READ, client)
 
     def _send(self, client: Client, send: Send) -> None:
-        self.read(0.0)  # what has been closed is known first
+        self.read(0.0)  # notices a close before sending on the connection
         if client.sock is None:
             return
         self.serial += 1
         ident, safe = f"{self.serial:016x}", send.safe
         tenant = self.serial if send.tenant is None else send.tenant
-        patience = self.wait if send.patience is None else send.patience
+        timeout = self.wait if send.timeout is None else send.timeout
         kind = "look" if safe else "change"
-        options = f"c={kind},t=plain,d={patience * 1000:.0f},units=1,spread={self.spread},first=0"
+        options = f"c={kind},t=plain,d={timeout * 1000:.0f},units=1,spread={self.spread},first=0"
         parts = [b"Q.ASK" if safe else b"Q.DO", b"%016x" % tenant, ident.encode(), options.encode()]
         try:
             client.sock.sendall(command(parts))
         except OSError:
-            self._ended(client, "reset")
+            self._close(client, "reset")
             return
-        at = self.now()  # a request's time counts from its last byte
-        client.sent.append(Sent(ident, safe, at, tenant, patience))
+        at = self.now()  # a request's deadline counts from its last byte
+        client.sent.append(Sent(ident, safe, at, tenant, timeout))
 
     def read(self, pause: float) -> None:
-        """Reads what has come, waiting so many seconds for it."""
+        """Reads what was received, waiting up to `pause` seconds."""
         for key, _ in self.selector.select(pause):
             client: Client = key.data
             assert client.sock is not None
@@ -235,16 +240,16 @@
             except BlockingIOError:
                 continue
             except OSError:
-                self._ended(client, "reset")
+                self._close(client, "reset")
                 continue
             if not data:
-                self._ended(client, "closed")
+                self._close(client, "closed")
                 continue
             client.data += data
             self._answers(client)
 
     def _answers(self, client: Client) -> None:
-        """Takes whole answers off what has come: lines, and bulk strings."""
+        """Takes complete answers off the buffer: lines and bulk strings."""
         for sent in client.sent:
             if sent.answered_at is not None:
                 continue
@@ -258,12 +263,12 @@
                 line, rest = rest[:size], rest[size + 2 :]
             client.data, sent.answer, sent.answered_at = rest, line, self.now()
 
-    def _ended(self, client: Client, how: str) -> None:
+    def _close(self, client: Client, how: str) -> None:
         sock, client.sock = client.sock, None
         if sock is not None:
             self.selector.unregister(sock)
-            if client.stays and how == "closed":
-                self.kept.append(sock)
+            if client.open_until_kill and how == "closed":
+                self.closed_by_ingress.append(sock)
             else:
                 with contextlib.suppress(OSError):
                     sock.close()
@@ -272,7 +277,7 @@
     def close(self) -> None:
         for client in self.clients:
             if client.sock is not None:
-                self._ended(client, "open")
-        for sock in self.kept:
+                self._close(client, "open")
+        for sock in self.closed_by_ingress:
             sock.close()
         self.selector.close()
--- a/lab/soak/play.py
+++ b/lab/soak/play.py
@@ -1,4 +1,4 @@
-"""Carries a run of the soak out: real ingresses, backends and discovery on loopback, clients and signals."""
+"""Executes a soak run: real ingresses, backends and discovery on loopback, with clients and signals."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from lab.soak.plan import (
     BACKENDS,
     CROWD_SOCKETS,
-    CUT_PART,
-    HOLD_UP_SECONDS,
+    CUT_FRACTION,
     LONG_VALUE_BYTES,
+    MAX_PAUSE_SECONDS,
+    PENDING_TENANT,
     PLAN_BURST,
     PLAN_RATE,
-    WAITING_TENANT,
+    BackendFault,
     BackendMode,
-    BackendTrouble,
-    DiscoverySilence,
-    Life,
+    DiscoveryOutage,
+    ProcessRun,
     Run,
     Signal,
     SignalAt,
@@ -35,24 +35,24 @@
 from lab.soak.record import Row
 
 BACKEND_WORK_SECONDS, BACKEND_CORES = 0.002, 4.0
-HELD_SECONDS = HOLD_UP_SECONDS - 0.01  # so that a late SIGCONT is not yet more than the terms allow
+PAUSE_SECONDS = MAX_PAUSE_SECONDS - 0.01  # leaves room for a late SIGCONT within the allowed pause
 LATE_BY_SECONDS = 0.3  # of an answer after the deadline
-WATCH_SECONDS = 0.01  # between looks at whether the soak itself is held up
-STARVED_SECONDS = 0.02  # of a hold-up that are worth a row
-IDENTS_OF_A_LIFE = 100_000
-NUMBERS = {Signal.RELOAD: signal.SIGHUP, Signal.TERMINATE: signal.SIGTERM, Signal.HOLD: signal.SIGSTOP}
+STARVATION_POLL_SECONDS = 0.01  # between checks of whether the soak itself is scheduled
+MIN_STARVATION_SECONDS = 0.02  # shortest delay that is recorded
+IDS_PER_PROCESS_RUN = 100_000
+SIGNAL_NUMBERS = {Signal.RELOAD: signal.SIGHUP, Signal.TERMINATE: signal.SIGTERM, Signal.HOLD: signal.SIGSTOP}
 SOCKETS = 1024
 
 
 @dataclass(slots=True)
-class Played:
-    """What is kept of a run: rows for the record, and the log of each life."""
+class SoakResult:
+    """The result of a run: rows for the record, and the log of each process run."""
 
     rows: list[Row]
     logs: list[str]
 
 
-class Soak:
+class SoakRunner:
     """One run; `play` returns once every ingress has ended."""
 
     def __init__(self, run: Run) -> None:
@@ -63,8 +63,8 @@
         self.begin = time.monotonic()
         self.over = threading.Event()
 
-    def play(self) -> Played:
-        """Plays it whole."""
+    def play(self) -> SoakResult:
+        """Plays the whole run."""
         plan = self.plan
         sockets = CROWD_SOCKETS if plan.crowd else SOCKETS
         deployment = Deployment(plan.look_deadline, plan.change_deadline, PLAN_RATE, PLAN_BURST, sockets)
@@ -81,72 +81,76 @@
             relayed=False,
         ) as site:
             for box in site.boxes:
-                box.arrived = self.arrived
-                box.hung_tenants = frozenset([WAITING_TENANT] if plan.owed_at_the_end else [])
+                box.received_ids = self.arrived
+                box.hung_tenants = frozenset([PENDING_TENANT] if plan.pending_at_kill else [])
             self.begin = time.monotonic()
-            beside = [
-                threading.Thread(target=self._trouble, args=(site,)),
-                threading.Thread(target=self._watch),
+            background = [
+                threading.Thread(target=self._run_backend_faults, args=(site,)),
+                threading.Thread(target=self._watch_for_starvation),
             ]
-            lives = [threading.Thread(target=self._live, args=(site, n)) for n in range(plan.ingresses)]
-            for thread in (*beside, *lives):
+            process_runs = [
+                threading.Thread(target=self._run_ingress, args=(site, n)) for n in range(plan.ingresses)
+            ]
+            for thread in (*background, *process_runs):
                 thread.start()
-            for thread in lives:
+            for thread in process_runs:
                 thread.join()
             self.over.set()
-            for thread in beside:
+            for thread in background:
                 thread.join()
-            self._note_backends(site)
-        return Played(self.rows, self.logs)
+            self._record_backends(site)
+        return SoakResult(self.rows, self.logs)
 
     def now(self) -> float:
-        """Seconds since the begin."""
+        """Seconds since the run began."""
         return time.monotonic() - self.begin
 
-    # One ingress, life after life.
+    # The process runs of one ingress.
 
-    def _live(self, site: Site, member: int) -> None:
-        for number, life in enumerate(self.plan.lives[member]):
+    def _run_ingress(self, site: Site, member: int) -> None:
+        for number, process_run in enumerate(self.plan.process_runs[member]):
             started = self.now()
-            if number or life.fault is not None:
-                self._start(site, member, life, first=not number)
+            if number or process_run.fault is not None:
+                self._start(site, member, process_run, first=not number)
             ready = self.now()
             ingress = site.live[member]
-            ended = self._play_life(site, member, number, life, ingress)
+            ended = self._play_process_run(site, member, number, process_run, ingress)
             status = "killed" if ended.ended_at is None else str(ingress.process.returncode)
-            self._note_life(member, number, started, ready, ended, status)
+            self._record_process_run(member, number, started, ready, ended, status)
             self.logs += [f"n{member} life {number} {line}" for line in list(ingress.log)]
 
-    def _start(self, site: Site, member: int, life: Life, first: bool) -> None:
-        if first:  # the site has started it without faults
+    def _start(self, site: Site, member: int, process_run: ProcessRun, first: bool) -> None:
+        if first:  # the site started it without faults
             site.kill(member)
         module, environment = "standflow", None
-        if (fault := life.fault) is not None:
+        if (fault := process_run.fault) is not None:
             module = "lab.faulty_calls"
             calls = [{"call": fault.call, "error": fault.error, "every": fault.every}]
             environment = {VARIABLE: json.dumps({"calls": calls, "from": fault.begin, "until": fault.end})}
         site.start(member, module=module, environment=environment)
 
-    def _play_life(self, site: Site, member: int, number: int, life: Life, ingress: Ingress) -> Shutdown:
+    def _play_process_run(
+        self, site: Site, member: int, number: int, process_run: ProcessRun, ingress: Ingress
+    ) -> Shutdown:
         clients = [
             Client(
-                [Send(send.at, send.safe, send.tenant, self._patience(send.safe)) for send in one.sends],
+                [Send(send.at, send.safe, send.tenant, self._timeout(send.safe)) for send in one.sends],
                 one.connects_at,
-                one.leaves_at,
-                one.stays,
+                one.disconnects_at,
+                one.open_until_kill,
             )
-            for one in life.clients
+            for one in process_run.clients
         ]
         due, prepared = [], {}
-        for one in life.signals:
-            due.append((one.at, int(NUMBERS[one.signal])))
+        for one in process_run.signals:
+            due.append((one.at, int(SIGNAL_NUMBERS[one.signal])))
             prepared[one.at] = one
             if one.signal is Signal.HOLD:
-                due.append((one.at + HELD_SECONDS, int(signal.SIGCONT)))
+                due.append((one.at + PAUSE_SECONDS, int(signal.SIGCONT)))
 
         def prepare(at: float, sent: int) -> None:
             if (one := prepared.get(at)) is not None and one.signal is Signal.RELOAD:
-                self._write_file(site, member, one)
+                self._write_settings(site, member, one)
             name = signal.Signals(sent).name
             self.rows.append(Row(what="signal", t=self.now(), member=member, life=number, detail=name))
 
@@ -154,23 +158,23 @@
             ingress.process,
             site.addresses[member],
             clients,
-            life.counted_deadline(self.plan.longest_deadline),
+            process_run.counted_deadline(self.plan.longest_deadline),
             self.plan.longest_deadline,
             self.arrived,
             due,
-            put_off=False,
-            first_serial=(member * 100 + number) * IDENTS_OF_A_LIFE,
+            extend_by_starvation=False,
+            first_serial=(member * 100 + number) * IDS_PER_PROCESS_RUN,
             spread=self.plan.ingresses,
             prepare=prepare,
         )
-        self._note_clients(member, number, clients, ended)
+        self._record_clients(member, number, clients, ended)
         return ended
 
-    def _patience(self, safe: bool) -> float:
+    def _timeout(self, safe: bool) -> float:
         return self.plan.look_deadline if safe else self.plan.change_deadline
 
-    def _write_file(self, site: Site, member: int, one: SignalAt) -> None:
-        """Other deadlines, and the list of another ingress to watch."""
+    def _write_settings(self, site: Site, member: int, one: SignalAt) -> None:
+        """Rewrites the file with other deadlines and the discovery to follow."""
         part = one.longest_deadline / self.plan.longest_deadline
         deployment = Deployment(
             self.plan.look_deadline * part,
@@ -183,20 +187,20 @@
 
     # Backends and discovery.
 
-    def _trouble(self, site: Site) -> None:
+    def _run_backend_faults(self, site: Site) -> None:
         due: list[tuple[float, Callable[[], None]]] = []
         for one in self.plan.backends:
-            due.append((one.begin, lambda one=one: self._begin_trouble(site, one)))  # type: ignore[misc]
-            due.append((one.end, lambda one=one: self._end_trouble(site, one)))  # type: ignore[misc]
-        for silence in self.plan.silences:
-            due.append((silence.begin, lambda one=silence: self._silence(site, one)))  # type: ignore[misc]
-            due.append((silence.end, lambda one=silence: self._hear(site, one)))  # type: ignore[misc]
+            due.append((one.begin, lambda one=one: self._begin_backend_fault(site, one)))  # type: ignore[misc]
+            due.append((one.end, lambda one=one: self._end_backend_fault(site, one)))  # type: ignore[misc]
+        for outage in self.plan.outages:
+            due.append((outage.begin, lambda one=outage: self._begin_outage(site, one)))  # type: ignore[misc]
+            due.append((outage.end, lambda one=outage: self._end_outage(site, one)))  # type: ignore[misc]
         for at, act in sorted(due, key=lambda one: one[0]):
             if self.over.wait(max(0.0, at - self.now())):
                 return
             act()
 
-    def _begin_trouble(self, site: Site, one: BackendTrouble) -> None:
+    def _begin_backend_fault(self, site: Site, one: BackendFault) -> None:
         box, mode = site.boxes[one.backend], one.mode
         self.rows.append(
             Row(what="backend", t=self.now(), until=one.end, backend=one.backend, detail=mode.value)
@@ -219,9 +223,9 @@
         else:
             box.value = LONG_VALUE_BYTES
             if mode is BackendMode.CUT:
-                box.mode = Mode(cut_after=int(CUT_PART * LONG_VALUE_BYTES))
+                box.mode = Mode(cut_after=int(CUT_FRACTION * LONG_VALUE_BYTES))
 
-    def _end_trouble(self, site: Site, one: BackendTrouble) -> None:
+    def _end_backend_fault(self, site: Site, one: BackendFault) -> None:
         box = site.boxes[one.backend]
         if one.mode is BackendMode.DRAINING:
             self.rows.append(Row(what="back", t=self.now(), backend=one.backend))
@@ -229,20 +233,20 @@
             return
         box.mode, box.delay, box.value = Mode(), 0.0, 0
 
-    def _silence(self, site: Site, one: DiscoverySilence) -> None:
+    def _begin_outage(self, site: Site, one: DiscoveryOutage) -> None:
         assert site.streams is not None
         lists = {BACKENDS + n for n in range(self.plan.ingresses)}
         (site.streams.refuse if one.refused else site.streams.cut)({one.ingress}, lists)
         detail = "refused" if one.refused else "silent"
         self.rows.append(Row(what="silence", t=self.now(), until=one.end, member=one.ingress, detail=detail))
 
-    def _hear(self, site: Site, one: DiscoverySilence) -> None:
+    def _end_outage(self, site: Site, one: DiscoveryOutage) -> None:
         assert site.streams is not None
         site.streams.heal()
 
-    # What is kept.
+    # Recording.
 
-    def _note_life(
+    def _record_process_run(
         self, member: int, number: int, started: float, ready: float, ended: Shutdown, status: str
     ) -> None:
         zero = ended.terminated - self.begin
@@ -260,7 +264,7 @@
             )
         )
 
-    def _note_clients(self, member: int, number: int, clients: list[Client], ended: Shutdown) -> None:
+    def _record_clients(self, member: int, number: int, clients: list[Client], ended: Shutdown) -> None:
         zero = ended.terminated - self.begin
         for serial, client in enumerate(clients):
             if client.connected_at is None:
@@ -288,15 +292,15 @@
                         ident=sent.ident,
                         tenant=sent.tenant,
                         safe=sent.safe,
-                        seconds=sent.patience,
-                        end=_end_of(sent.answer, sent.answered_at),
+                        seconds=sent.timeout,
+                        end=_outcome_of(sent.answer, sent.answered_at),
                         member=member,
                         life=number,
                         connection=serial,
                     )
                 )
 
-    def _note_backends(self, site: Site) -> None:
+    def _record_backends(self, site: Site) -> None:
         for number, box in enumerate(site.boxes):
             for one in box.counts.arrivals:
                 self.rows.append(
@@ -311,19 +315,19 @@
                     )
                 )
 
-    def _watch(self) -> None:
-        """Notes when the soak itself was held up: its clients and backends are late then."""
+    def _watch_for_starvation(self) -> None:
+        """Records when the soak itself was not scheduled; its clients and backends are then late."""
         last = self.now()
-        while not self.over.wait(WATCH_SECONDS):
+        while not self.over.wait(STARVATION_POLL_SECONDS):
             now = self.now()
-            late = now - last - WATCH_SECONDS
-            if late > STARVED_SECONDS:
+            late = now - last - STARVATION_POLL_SECONDS
+            if late > MIN_STARVATION_SECONDS:
                 self.rows.append(Row(what="starved", t=last, until=now, detail=f"late by {late:.3f}"))
             last = now
 
 
-def _end_of(answer: bytes, answered_at: float | None) -> str:
-    """What came of a request, by its answer without framing."""
+def _outcome_of(answer: bytes, answered_at: float | None) -> str:
+    """The outcome of a request, from its answer without framing."""
     if answered_at is None:
         return "open"
     if answer.startswith(b"-BUSY"):
--- a/lab/streams.py
+++ b/lab/streams.py
@@ -1,6 +1,6 @@
-"""TCP between ingresses and what they connect to: passed on, late, cut without a word, or reset, on demand.
+"""A TCP proxy between ingresses and their endpoints that delays, blackholes or resets connections on demand.
 
-Each pair of an ingress and an end has an address of its own, at which the ingress sees that end.
+Each pair of an ingress and an endpoint has its own address, at which the ingress sees that endpoint.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 from lab.accept import RESET
 
 Address = tuple[str, int]
-Pair = tuple[int, int]  # an ingress and an end, by their numbers
-PIECE = 65536
-TICK = 0.02  # seconds
+Pair = tuple[int, int]  # numbers of an ingress and an endpoint
+CHUNK_BYTES = 65536
+POLL_SECONDS = 0.02
 
 
 @dataclass(slots=True, eq=False)
-class Way:
-    """One direction of one connection. `waiting`: pieces with the time at which each is due."""
+class Direction:
+    """One direction of a connection. `waiting`: a heap of pieces by the time at which each is due."""
 
     pair: Pair
     source: socket.socket
     sink: socket.socket
-    other: Way | None = None
+    other: Direction | None = None
     waiting: list[tuple[float, int, bytes]] = field(default_factory=list)
-    ended: bool = False  # the source's end was read
+    ended: bool = False  # end of stream was read from the source
 
 
-class Streams:
-    """A relay on a thread of its own. What it does may be changed at any time.
+class TcpProxy:
+    """A proxy on its own thread. Its settings may be changed at any time.
 
-    `silent`: pairs between which nothing passes; a dial there hangs once the few places of the kernel's queue
-    are taken. `refused`: pairs whose connections are reset, new ones too. `delay`: seconds, each way.
+    `silent`: blackholed pairs; a dial there hangs once the kernel's short accept queue is full.
+    `refused`: pairs whose connections are reset, new ones too. `delay`: seconds, each way.
     """
 
     def __init__(self, ingresses: int, ends: list[Address]) -> None:
@@ -46,7 +46,7 @@
         self.refused: set[Pair] = set()
         self.delay = 0.0
         self.resets = self.passed = 0
-        self.ways: list[Way] = []
+        self.directions: list[Direction] = []
         self.serial = 0
         self.lock = threading.Lock()
         self.selector = selectors.DefaultSelector()
@@ -61,126 +61,135 @@
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
-    def __enter__(self) -> Streams:
+    def __enter__(self) -> TcpProxy:
         return self
 
     def __exit__(self, *_: object) -> None:
         self.open = False
         self.thread.join(5.0)
-        for way in self.ways:
-            way.source.close()
+        for direction in self.directions:
+            direction.source.close()
         for listener in self.listeners.values():
             listener.close()
         self.selector.close()
 
-    def seen_by(self, ingress: int) -> list[Address]:
-        """Where an ingress finds the ends, in their order."""
+    def addresses_for(self, ingress: int) -> list[Address]:
+        """The addresses at which an ingress sees the endpoints, in order."""
         return [self.listeners[ingress, end].getsockname() for end in range(len(self.ends))]
 
     def cut(self, ingresses: set[int], ends: set[int]) -> None:
-        """Without a word."""
+        """Blackholes these pairs: nothing is forwarded and nothing is closed."""
         self.silent |= {(a, b) for a in ingresses for b in ends}
 
     def refuse(self, ingresses: set[int], ends: set[int]) -> None:
-        """Connections there are reset, and so is each new one."""
+        """Resets open and future connections of these pairs."""
         with self.lock:
             self.refused |= {(a, b) for a in ingresses for b in ends}
-            for way in [way for way in self.ways if way.pair in self.refused]:
-                self._end(way, True)
+            for direction in [direction for direction in self.directions if direction.pair in self.refused]:
+                self._close(direction, True)
 
     def heal(self) -> None:
-        """All pass again, and what waited comes."""
+        """Forwards everything again, including data held back so far."""
         self.silent, self.refused, self.delay = set(), set(), 0.0
 
-    # The thread.
+    # The proxy thread.
 
     def _run(self) -> None:
         while self.open:
             with contextlib.suppress(OSError):
-                ready = self.selector.select(TICK)
+                ready = self.selector.select(POLL_SECONDS)
             with self.lock:
                 for key, _ in ready:
                     self._accept(key.data) if isinstance(key.data, tuple) else self._read(key.data)
                 now = time.monotonic()
-                for way in list(self.ways):
-                    if way in self.ways:
-                        self._pass(way, now)
-            if ready and all(self._held(key.data) for key, _ in ready):
-                time.sleep(TICK)  # what is held stays readable
+                for direction in list(self.directions):
+                    if direction in self.directions:
+                        self._forward(direction, now)
+            if ready and all(self._is_held(key.data) for key, _ in ready):
+                time.sleep(POLL_SECONDS)  # held sockets stay readable; avoids a busy loop
 
-    def _held(self, data: Pair | Way) -> bool:
+    def _is_held(self, data: Pair | Direction) -> bool:
         pair = data if isinstance(data, tuple) else data.pair
-        return pair in self.silent or (isinstance(data, Way) and len(data.waiting) > 64)
+        return pair in self.silent or (isinstance(data, Direction) and len(data.waiting) > 64)
 
     def _accept(self, pair: Pair) -> None:
         if pair in self.silent:
             return
         try:
-            near, _ = self.listeners[pair].accept()
+            client_sock, _ = self.listeners[pair].accept()
         except OSError:
             return
         try:
             if pair in self.refused:
                 raise ConnectionRefusedError
-            far = socket.create_connection(self.ends[pair[1]], 1.0)
+            endpoint_sock = socket.create_connection(self.ends[pair[1]], 1.0)
         except OSError:
             self.resets += 1
-            near.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-            near.close()
+            client_sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            client_sock.close()
             return
-        there, back = Way(pair, near, far), Way(pair, far, near)
-        there.other, back.other = back, there
-        for way in (there, back):
-            way.source.setblocking(False)
-            way.source.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.ways.append(way)
-            self.selector.register(way.source, selectors.EVENT_READ, way)
-
-    def _read(self, way: Way) -> None:
-        if way not in self.ways or self._held(way):
+        upstream, downstream = (
+            Direction(pair, client_sock, endpoint_sock),
+            Direction(pair, endpoint_sock, client_sock),
+        )
+        upstream.other, downstream.other = downstream, upstream
+        for direction in (upstream, downstream):
+            direction.source.setblocking(False)
+            direction.source.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self.directions.append(direction)
+            self.selector.register(direction.source, selectors.EVENT_READ, direction)
+
+    def _read(self, direction: Direction) -> None:
+        if direction not in self.directions or self._is_held(direction):
             return
         try:
-            data = way.source.recv(PIECE)
+            data = direction.source.recv(CHUNK_BYTES)
         except BlockingIOError:
             return
         except OSError:
-            self._end(way, True)
+            self._close(direction, True)
             return
         self.serial += 1
-        heapq.heappush(way.waiting, (time.monotonic() + self.delay, self.serial, data))
+        heapq.heappush(direction.waiting, (time.monotonic() + self.delay, self.serial, data))
         if not data:
-            way.ended = True
-            self.selector.unregister(way.source)
+            direction.ended = True
+            self.selector.unregister(direction.source)
 
-    def _pass(self, way: Way, now: float) -> None:
-        while way.waiting and way.waiting[0][0] <= now and way.pair not in self.silent:
-            at, serial, data = way.waiting[0]
+    def _forward(self, direction: Direction, now: float) -> None:
+        while direction.waiting and direction.waiting[0][0] <= now and direction.pair not in self.silent:
+            at, serial, data = direction.waiting[0]
             try:
                 if data:
-                    taken = way.sink.send(data)
+                    taken = direction.sink.send(data)
                     self.passed += taken
                     if taken < len(data):
-                        way.waiting[0] = (at, serial, data[taken:])
+                        direction.waiting[0] = (at, serial, data[taken:])
                         return
                 else:
-                    way.sink.shutdown(socket.SHUT_WR)
+                    direction.sink.shutdown(socket.SHUT_WR)
             except BlockingIOError:
                 return
             except OSError:
-                self._end(way, True)
+                self._close(direction, True)
                 return
-            heapq.heappop(way.waiting)
-        other = way.other
-        if other is not None and way.ended and other.ended and not way.waiting and not other.waiting:
-            self._end(way, False)
-
-    def _end(self, way: Way, broken: bool) -> None:
-        for one in (way, way.other):
-            if one is not None and one in self.ways:
-                self.ways.remove(one)
+            heapq.heappop(direction.waiting)
+        other = direction.other
+        if (
+            other is not None
+            and direction.ended
+            and other.ended
+            and not direction.waiting
+            and not other.waiting
+        ):
+            self._close(direction, False)
+
+    def _close(self, direction: Direction, abort: bool) -> None:
+        for one in (direction, direction.other):
+            if one is not None and one in self.directions:
+                self.directions.remove(one)
                 if not one.ended:
                     self.selector.unregister(one.source)
-                if broken:  # no FIN goes out first
+                if abort:  # before close(), so that no FIN is sent first
                     one.source.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
                 one.source.close()
-        self.resets += broken
+        self.resets += abort
