--- a/lab/bench_tls.py
+++ b/lab/bench_tls.py
@@ -281,7 +281,7 @@
         for caller in callers:
             caller.stop()
         # Requests in flight when the process died may have run, and fail for that, not because of handshakes.
-        valid_until = sum((caller.outcome_counts(started + 0.1) for caller in callers), Counter[str]())
+        outcomes = sum((caller.outcome_counts(started + 0.1) for caller in callers), Counter[str]())
         stats = {name: box.do("stats") for name, box in boxes.items()}
         worst = _worst_handshake_share(stats["s-0"]["events"], started)
         name = f"cold_{ingresses}_{'limited' if limit == 'on' else 'unlimited'}"
@@ -289,9 +289,9 @@
         report.print_figure(f"{name}_handshakes", _handshake_count(stats["s-0"]["events"], started), "count")
         after = _seconds_to_fair_share(stats, started)
         report.print_figure(f"{name}_own_share_after", after, "s")
-        lost = valid_until["lost"] + valid_until["failed"]
-        report.print_figure(f"{name}_requests", sum(valid_until.values()), "count")
-        report.print_figure(f"{name}_refused", valid_until["refused"], "count")
+        lost = outcomes["lost"] + outcomes["failed"]
+        report.print_figure(f"{name}_requests", sum(outcomes.values()), "count")
+        report.print_figure(f"{name}_refused", outcomes["refused"], "count")
         report.print_figure(f"{name}_lost_or_failed", lost, "count", "==0" if limit == "on" else "-")
         twice = sum(count > 1 for seen in stats.values() for count in seen["changes"].values())
         report.print_figure(f"{name}_ran_twice", twice, "count", "==0")
@@ -363,13 +363,11 @@
                 box.do("forget", certificate=site.certificate(name))
             time.sleep(0.7)
         callers.stop()
-        valid_until = callers.outcome_counts()
+        outcomes = callers.outcome_counts()
         stats = [box.do("stats") for box in boxes.values()]
-        report.print_figure("rotations_requests", sum(valid_until.values()), "count", ">=500")
-        report.print_figure(
-            "rotations_lost_or_failed", valid_until["lost"] + valid_until["failed"], "count", "==0"
-        )
-        report.print_figure("rotations_refused", valid_until["refused"], "count", "==0")
+        report.print_figure("rotations_requests", sum(outcomes.values()), "count", ">=500")
+        report.print_figure("rotations_lost_or_failed", outcomes["lost"] + outcomes["failed"], "count", "==0")
+        report.print_figure("rotations_refused", outcomes["refused"], "count", "==0")
         report.print_figure(
             "rotations_handshakes", sum(seen["full"] + seen["resumed"] for seen in stats), "count"
         )
