--- a/standflow/fleet/dissemination.py
+++ b/standflow/fleet/dissemination.py
@@ -48,8 +48,8 @@
         following = self._add_sync_page(chosen, cursor) if syncing else cursor
         return tuple(chosen.values()), following
 
-    def _add_gossip(self, chosen: dict[int, Update], most: int) -> None:
-        for member_id in nlargest(most, self.remaining, key=self.remaining.__getitem__):
+    def _add_gossip(self, chosen: dict[int, Update], max_updates: int) -> None:
+        for member_id in nlargest(max_updates, self.remaining, key=self.remaining.__getitem__):
             chosen[member_id] = self.table.updates[member_id]
             self.remaining[member_id] -= 1
             if not self.remaining[member_id]:
--- a/standflow/fleet/member_table.py
+++ b/standflow/fleet/member_table.py
@@ -56,11 +56,11 @@
         self._set_membership(self.alive, update.member_id, update.state in ALIVE_STATES)
         self._set_membership(self.dead, update.member_id, update.state is State.DEAD)
 
-    def sample_others(self, most: int) -> list[int]:
+    def sample_others(self, max_members: int) -> list[int]:
         """A random sample of the other members that are alive."""
         if not self._others:
             self._others = sorted(self.alive - {self.own_id})
-        return self.rng.sample(self._others, min(most, len(self._others)))
+        return self.rng.sample(self._others, min(max_members, len(self._others)))
 
     def ids_from(self, first: int) -> list[int]:
         """All known member ids that are not below `first`, in order."""
