--- a/standflow/assembly.py
+++ b/standflow/assembly.py
@@ -248,8 +248,8 @@
             refill_windows=lambda windows: driver.restore_use(
                 [[w.key, w.plan, w.first, w.size, w.own, w.others] for w in windows]
             ),
-            learned=driver.learnt,
-            restore_learned=driver.learn,
+            learned_estimates=driver.learned_estimates,
+            restore_learned_estimates=driver.restore_learned_estimates,
             routes=lambda: [write_route(route) for route in self._discovered_routes()],
             operator_overrides=overrides,
             evacuation=lambda: (clients.evacuated, clients.evacuated_at),
@@ -441,11 +441,11 @@
             self.driver.start(known)
         if restored is not None and self.store is not None:
             self.store.callbacks.refill_windows(restored.windows)
-            if restored.learned is not None:
+            if restored.learned_estimates is not None:
                 try:
-                    self.store.callbacks.restore_learned(restored.learned)
+                    self.store.callbacks.restore_learned_estimates(restored.learned_estimates)
                 except (KeyError, TypeError, ValueError, AttributeError) as error:
-                    self.log(f"store: the learnt hint is ignored: {error!r}")
+                    self.log(f"store: the learned estimates are ignored: {error!r}")
             self.store.start(restored)
         if self.routes is not None:
             self.routes.connect()
--- a/standflow/driver.py
+++ b/standflow/driver.py
@@ -62,7 +62,7 @@
         self.clock_offset = time.time() - time.monotonic()
         self.start_times = StartTimes()
         self.module = Gateway(settings, seed)
-        # Arguments: key, ring size, ring index, count, level, fullness. Set by counter reconciliation.
+        # Arguments: key, ring size, ring index, count, level, total level. Set by counter reconciliation.
         self.report_use: Callable[[bytes, int, int, int, float, float], None] = lambda *note: None
         # Arguments: name, amount, lifetime of a new counter. Set where the counter service is called.
         self.count: Callable[[int, float, float], None] = self._no_counter
@@ -263,17 +263,17 @@
 
         handover.restore_windows(self.module, self.loop.now() + self.clock_offset, rows)
 
-    def learnt(self) -> dict[str, Any]:
-        """What the module learnt about backends and classes, as a hint for a later process run."""
+    def learned_estimates(self) -> dict[str, Any]:
+        """The module's learned estimates of backends and classes, as a hint for a later process run."""
         from hoistfold import handover
 
         return handover.export_estimates(self.module)
 
-    def learn(self, hint: dict[str, Any]) -> None:
-        """Takes in such a hint."""
+    def restore_learned_estimates(self, estimates: dict[str, Any]) -> None:
+        """Takes over learned estimates of an earlier process run, as a hint."""
         from hoistfold import handover
 
-        handover.import_estimates(self.module, self.loop.now() + self.clock_offset, hint)
+        handover.import_estimates(self.module, self.loop.now() + self.clock_offset, estimates)
 
     def ejected(self) -> set[str]:
         """The next hops that outlier detection has ejected."""
--- a/standflow/recovery/trust.py
+++ b/standflow/recovery/trust.py
@@ -61,7 +61,7 @@
     next_hops: list[Any] = field(default_factory=list)
     members: dict[str, list[Any]] = field(default_factory=dict)
     windows: list[Window] = field(default_factory=list)
-    learned: dict[str, Any] | None = None
+    learned_estimates: dict[str, Any] | None = None
     drained: int = 0  # windows that have drained by now
     skipped: int = 0  # records that can't be interpreted
     drained_in: float = 0.0
@@ -105,7 +105,7 @@
     elif record.kind == LEARNED:
         passed, exact = elapsed_since(record, clock)
         if exact and passed <= LEARNED_MAX_AGE_SECONDS:
-            state.learned = dict(value)
+            state.learned_estimates = dict(value)
     elif record.kind == USAGE:
         window, drained_in = assume_full(record, clock, plans, newest)
         if window is None:
--- a/standflow/recovery/writer.py
+++ b/standflow/recovery/writer.py
@@ -37,8 +37,8 @@
 
     used_windows: Callable[[float], list[list[Any]]]  # windows used since a time on the loop's clock
     refill_windows: Callable[[list[Window]], None]
-    learned: Callable[[], dict[str, Any]]
-    restore_learned: Callable[[dict[str, Any]], None]
+    learned_estimates: Callable[[], dict[str, Any]]
+    restore_learned_estimates: Callable[[dict[str, Any]], None]
     routes: Callable[[], list[dict[str, Any]]]
     # by next hop; None if the operators' API is off
     operator_overrides: Callable[[], dict[str, list[Any]] | None]
@@ -102,7 +102,7 @@
         if contents.foreign_identity:
             self.log(f"store: this is the store of {contents.foreign_identity!r}: not used")
         if not is_owner:
-            state.windows, state.learned, state.drained_in = [], None, 0.0
+            state.windows, state.learned_estimates, state.drained_in = [], None, 0.0
         for (kind, name), record in contents.records.items():
             if is_owner and kind not in (USAGE, HEARTBEAT):
                 self.stored[kind, name] = record.value
@@ -175,7 +175,7 @@
         records += self._operator_records(uptime)
         if now >= self.next_slow_write:
             self.next_slow_write = now + SLOW_WRITE_SECONDS
-            records.append(Record(LEARNED, "", self.callbacks.learned(), self.boot_id, uptime))
+            records.append(Record(LEARNED, "", self.callbacks.learned_estimates(), self.boot_id, uptime))
             next_hops = {str(route["id"]): route for route in self.callbacks.routes()}
             records += self._changed_records(NEXT_HOP, next_hops, uptime)
             if (members := self.callbacks.members()) is not None:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -308,14 +308,14 @@
     assert now.operator_overrides == {"s-1": [True, 9e9, 9e9]}
     assert now.evacuation == (True, 9e9)
     assert now.next_hops == [{"id": "s-2"}]
-    assert now.learned is None
+    assert now.learned_estimates is None
     assert [(w.key, w.own + w.others) for w in now.windows] == [("busy", 12.0)]
     assert (now.drained, now.skipped) == (2, 1)
     soon = select_trusted(records[:4], BootClock("b", 12.0), PLANS)
-    assert soon.learned == hint
+    assert soon.learned_estimates == hint
     later = select_trusted(records, BootClock("c", 60.0), PLANS)
     assert not later.windows
-    assert later.learned is None
+    assert later.learned_estimates is None
     assert later.operator_overrides
     assert later.next_hops
     # the clock of a boot never goes back, so no time is taken to have passed
