--- a/lab/bench_counter.py
+++ b/lab/bench_counter.py
@@ -77,7 +77,7 @@
         self.folder = Path(self.stack.enter_context(tempfile.TemporaryDirectory()))
         self.store = Store(COUNTER_PARTS)
         # The counter's listener for the zone of the first ingress, and the one for the other ingresses.
-        self.first_door, self.other_door = (
+        self.first_server, self.other_server = (
             self.stack.enter_context(CounterServer(self.store)) for _ in range(2)
         )
         self.box = self.stack.enter_context(Box())
@@ -101,7 +101,7 @@
             CONFIG.format(
                 number=number,
                 ingresses=INGRESSES,
-                counter="{}:{}".format(*(self.other_door if number else self.first_door).address),
+                counter="{}:{}".format(*(self.other_server if number else self.first_server).address),
                 rate=PLAN_RATE,
                 burst=PLAN_BURST,
                 ring="\n".join(lines) if self.ring else "limits {\n    peer-messages  0\n}",
@@ -187,27 +187,27 @@
     """Sets attributes of both listeners of the counter; see lab.counter.ServerFaults."""
 
     def inject(site: Site) -> None:
-        for door in (site.first_door, site.other_door):
+        for server in (site.first_server, site.other_server):
             for name, value in values.items():
-                setattr(door.faults, name, value)
+                setattr(server.faults, name, value)
 
     return inject
 
 
 def close_counter(site: Site) -> None:
     """The counter becomes unreachable."""
-    site.first_door.close()
-    site.other_door.close()
+    site.first_server.close()
+    site.other_server.close()
 
 
 def cut_counter_part(site: Site) -> None:
     """The first ingress loses one part of the counter, which the others still reach."""
-    site.first_door.faults.cut.add(0)
+    site.first_server.faults.cut.add(0)
 
 
 def split_counters(site: Site) -> None:
     """The first ingress reaches a different, empty counter from now on."""
-    site.first_door.store = Store(COUNTER_PARTS)
+    site.first_server.store = Store(COUNTER_PARTS)
 
 
 def cut_ring(site: Site) -> None:
@@ -223,7 +223,7 @@
 def cut_off_from_ring_and_counter(site: Site) -> None:
     """The first ingress is cut off from the others and from the counter."""
     cut_off_from_ring(site)
-    site.first_door.close()
+    site.first_server.close()
 
 
 def cut_ring_and(other: Callable[[Site], None]) -> Callable[[Site], None]:
--- a/tests/test_counted.py
+++ b/tests/test_counted.py
@@ -363,10 +363,10 @@
 
 
 def test_a_request_of_a_disconnected_client_is_not_sent_after_the_counter_call(tmp_path: Path) -> None:
-    way = ServerFaults(delay=0.5)
+    faults = ServerFaults(delay=0.5)
     with (
         Box() as box,
-        CounterServer(Store(), way) as server,
+        CounterServer(Store(), faults) as server,
         program(tmp_path, config_of_two(0, box, server)) as running,
     ):
         leaves, stays = running.call(), running.call()
@@ -377,7 +377,7 @@
             assert time.monotonic() < end
             time.sleep(0.01)
         leaves.close()
-        way.delay = 0.0
+        faults.delay = 0.0
         # answered after the disconnected client's request, on the counter's connection
         assert served(stays, 1, "b") == 1
         running.logged(r"end caller peer_closed answered=0 open=1")
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -51,7 +51,7 @@
 
 
 @contextmanager
-def rig(address: tuple[str, int], timeout: float = LIMIT, max_connections: int = 32) -> Iterator[Rig]:
+def open_rig(address: tuple[str, int], timeout: float = LIMIT, max_connections: int = 32) -> Iterator[Rig]:
     made = Rig(address, timeout, max_connections)
     yield made
     made.client.close()
@@ -71,98 +71,106 @@
 
 
 def test_amounts_add_up_by_name_until_the_name_expires() -> None:
-    with CounterServer(Store(parts=3)) as door, rig(door.address) as at:
+    with CounterServer(Store(parts=3)) as server, open_rig(server.address) as rig:
         calls = [
-            at.add("a", 2.5),
-            at.add("b", 4.0),
-            at.add("a", -1.0),
-            at.add("a", 0.0),
-            at.add("c", 1, 0.05),
+            rig.add("a", 2.5),
+            rig.add("b", 4.0),
+            rig.add("a", -1.0),
+            rig.add("a", 0.0),
+            rig.add("c", 1, 0.05),
         ]
-        assert [(end.effect, end.total) for end in at.results(*calls)] == [
+        assert [(end.effect, end.total) for end in rig.results(*calls)] == [
             (CallEffect.ADDED, total) for total in (2.5, 4.0, 1.5, 1.5, 1.0)
         ]
         time.sleep(0.06)
-        assert at.results(at.add("c", 2.0))[0].total == 2.0
-        assert len(at.client.connections) == 1  # the calls are pipelined
-        assert at.results(at.add("d", 1234567.89))[0].total == 1234568  # seven digits are exact
+        assert rig.results(rig.add("c", 2.0))[0].total == 2.0
+        assert len(rig.client.connections) == 1  # the calls are pipelined
+        assert rig.results(rig.add("d", 1234567.89))[0].total == 1234568  # seven digits are exact
 
 
 def test_many_calls_at_once_share_a_bounded_number_of_connections() -> None:
     with (
-        CounterServer(Store(per_second=1e6), max_per_peer=2) as door,
-        rig(door.address, max_connections=2) as at,
+        CounterServer(Store(per_second=1e6), max_per_peer=2) as server,
+        open_rig(server.address, max_connections=2) as rig,
     ):
-        calls = [at.add("a") for _ in range(5 * PIPELINE_DEPTH)]
-        totals = [end.total for end in at.results(*calls)]
+        calls = [rig.add("a") for _ in range(5 * PIPELINE_DEPTH)]
+        totals = [end.total for end in rig.results(*calls)]
         assert sorted(totals, key=lambda total: total or 0) == [
             float(n + 1) for n in range(5 * PIPELINE_DEPTH)
         ]
-        assert len(at.client.connections) == 2
+        assert len(rig.client.connections) == 2
 
 
 def test_invalid_totals_affect_fewer_and_fewer_pipelined_calls() -> None:
     with (
-        CounterServer(Store(per_second=1e6), ServerFaults(corrupt_share=1.0)) as door,
-        rig(door.address) as at,
+        CounterServer(Store(per_second=1e6), ServerFaults(corrupt_share=1.0)) as server,
+        open_rig(server.address) as rig,
     ):
         known = []
         for _ in range(5):
-            ends = at.results(*[at.add("a") for _ in range(PIPELINE_DEPTH)])
+            ends = rig.results(*[rig.add("a") for _ in range(PIPELINE_DEPTH)])
             known.append(sum(end.effect is CallEffect.ADDED for end in ends))
         assert known[0] < PIPELINE_DEPTH / 4
         assert known[-1] == PIPELINE_DEPTH  # each has a connection of its own, so only its total is lost
-        door.faults.corrupt_share = 0.0
-        assert at.results(at.add("a"))[0].total is not None
+        server.faults.corrupt_share = 0.0
+        assert rig.results(rig.add("a"))[0].total is not None
 
 
 def test_a_rejected_call_is_reported_as_not_added_and_overloaded() -> None:
-    with CounterServer(Store(per_second=10.0, line=0.05)) as door, rig(door.address) as at:
-        first, second = at.results(at.add("a"), at.add("a"))
+    with CounterServer(Store(per_second=10.0, line=0.05)) as server, open_rig(server.address) as rig:
+        first, second = rig.results(rig.add("a"), rig.add("a"))
         assert (first.effect, first.overloaded) == (CallEffect.ADDED, False)
         assert (second.effect, second.overloaded, second.total) == (CallEffect.NOT_ADDED, True, None)
 
 
 def test_a_slow_answer_is_uncertain_at_the_timeout_and_settled_late() -> None:
-    with CounterServer(Store(), ServerFaults(delay=0.1)) as door, rig(door.address, 0.02) as at:
-        call = at.add("a", 3.0)
-        assert at.results(call)[0].effect is CallEffect.UNCERTAIN
+    with CounterServer(Store(), ServerFaults(delay=0.1)) as server, open_rig(server.address, 0.02) as rig:
+        call = rig.add("a", 3.0)
+        assert rig.results(call)[0].effect is CallEffect.UNCERTAIN
         assert 0.02 <= call[0].latency < 0.09
-        assert at.results(call, count=2)[0] == CallResult(CallEffect.ADDED, 3.0, call[1].latency, False, True)
-        assert len(at.client.connections) == 1  # a slow connection stays in use
+        assert rig.results(call, count=2)[0] == CallResult(
+            CallEffect.ADDED, 3.0, call[1].latency, False, True
+        )
+        assert len(rig.client.connections) == 1  # a slow connection stays in use
 
 
 def test_a_call_that_is_never_answered_stays_uncertain_and_so_do_those_pipelined_behind_it() -> None:
-    with CounterServer(Store(parts=1), ServerFaults(cut={0})) as door, rig(door.address, 0.02) as at:
-        assert [end.effect for end in at.results(at.add("a"), at.add("b"))] == [CallEffect.UNCERTAIN] * 2
-        run_until(at.loop, lambda: at.reasons() == ["silent"])
-        door.faults.cut.clear()
-        assert at.results(at.add("a"))[0].total == 1.0  # on a new connection
+    with (
+        CounterServer(Store(parts=1), ServerFaults(cut={0})) as server,
+        open_rig(server.address, 0.02) as rig,
+    ):
+        assert [end.effect for end in rig.results(rig.add("a"), rig.add("b"))] == [CallEffect.UNCERTAIN] * 2
+        run_until(rig.loop, lambda: rig.reasons() == ["silent"])
+        server.faults.cut.clear()
+        assert rig.results(rig.add("a"))[0].total == 1.0  # on a new connection
 
 
 def test_calls_avoid_a_connection_that_has_become_silent() -> None:
-    with listener() as hop, rig(hop.getsockname(), 0.02) as at:
-        lost = at.add("a")
+    with listener() as hop, open_rig(hop.getsockname(), 0.02) as rig:
+        lost = rig.add("a")
         silent = accepted(hop)
-        assert at.results(lost)[0].effect is CallEffect.UNCERTAIN
-        calls = [at.add("a")]
+        assert rig.results(lost)[0].effect is CallEffect.UNCERTAIN
+        calls = [rig.add("a")]
 
         def written() -> bool:
             if calls[-1]:  # on a busy machine a call may time out before it is written
-                calls.append(at.add("a"))
-            return len(at.client.connections) > 1 and bool(at.client.connections[1].calls)
+                calls.append(rig.add("a"))
+            return len(rig.client.connections) > 1 and bool(rig.client.connections[1].calls)
 
-        run_until(at.loop, written)
+        run_until(rig.loop, written)
         with silent, accepted(hop) as other:
             other.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n7")
-            run_until(at.loop, lambda: any(end.total == 7.0 for call in calls for end in call))
+            run_until(rig.loop, lambda: any(end.total == 7.0 for call in calls for end in call))
 
 
 def test_few_connections_are_opened_to_a_counter_that_does_not_answer() -> None:
-    with CounterServer(Store(parts=1), ServerFaults(cut={0})) as door, rig(door.address, 0.02) as at:
+    with (
+        CounterServer(Store(parts=1), ServerFaults(cut={0})) as server,
+        open_rig(server.address, 0.02) as rig,
+    ):
         for _ in range(3 * MAX_SILENT_CONNECTIONS):
-            at.results(at.add("a"))
-        assert len(at.client.connections) <= MAX_SILENT_CONNECTIONS
+            rig.results(rig.add("a"))
+        assert len(rig.client.connections) <= MAX_SILENT_CONNECTIONS
 
 
 @pytest.mark.parametrize(
@@ -192,25 +200,25 @@
 def test_each_answer_settles_its_call_and_ends_the_connection(
     answer: bytes, effect: CallEffect, reason: str
 ) -> None:
-    with listener() as hop, rig(hop.getsockname()) as at:
-        call = at.add("a", 2.0)
+    with listener() as hop, open_rig(hop.getsockname()) as rig:
+        call = rig.add("a", 2.0)
         with accepted(hop) as sock:
-            run_until(at.loop, lambda: at.client.connections[0].calls)
+            run_until(rig.loop, lambda: rig.client.connections[0].calls)
             written = read_until(sock, b"\r\n\r\n")
             assert written.startswith(b"POST /v1/count/a?add=2&ttl_ms=60000 HTTP/1.1\r\n")
             sock.sendall(answer)
-        result = at.results(call)[0]
+        result = rig.results(call)[0]
         assert result.effect is effect
         assert (result.total is not None) == (b"\r\n\r\n7" in answer)
-        run_until(at.loop, lambda: at.reasons() == [reason])
+        run_until(rig.loop, lambda: rig.reasons() == [reason])
 
 
 def test_a_call_that_is_not_fully_written_is_not_added() -> None:
     with listener() as hop:
         address = hop.getsockname()
-    with rig(address) as at:
-        assert at.results(at.add("a"))[0].effect is CallEffect.NOT_ADDED
-        assert at.reasons() == ["connect_failed:ECONNREFUSED"]
+    with open_rig(address) as rig:
+        assert rig.results(rig.add("a"))[0].effect is CallEffect.NOT_ADDED
+        assert rig.reasons() == ["connect_failed:ECONNREFUSED"]
     with (
         socket.socket() as full
     ):  # the connection is never established; the call times out and is not sent later
@@ -220,9 +228,9 @@
         for sock in queued:
             sock.setblocking(False)
             sock.connect_ex(full.getsockname())
-        with rig(full.getsockname(), 0.02) as at:
-            assert at.results(at.add("a"))[0].effect is CallEffect.NOT_ADDED
-            assert not any(one.open_calls for one in at.client.connections)
+        with open_rig(full.getsockname(), 0.02) as rig:
+            assert rig.results(rig.add("a"))[0].effect is CallEffect.NOT_ADDED
+            assert not any(one.open_calls for one in rig.client.connections)
         for sock in queued:
             sock.close()
 
@@ -244,12 +252,12 @@
             self.sock.close()
 
     store = Store()
-    with CounterServer(store) as door, rig(door.address, 0.05) as at:
-        assert at.results(at.add("a"))[0].effect is CallEffect.ADDED
-        connection = at.client.connections[0]
+    with CounterServer(store) as server, open_rig(server.address, 0.05) as rig:
+        assert rig.results(rig.add("a"))[0].effect is CallEffect.ADDED
+        connection = rig.client.connections[0]
         connection.sock = BlockingSocket(connection.sock)  # type: ignore[assignment]
-        assert at.results(at.add("a"))[0].effect is CallEffect.NOT_ADDED
-        assert at.reasons() == ["stuck"]
+        assert rig.results(rig.add("a"))[0].effect is CallEffect.NOT_ADDED
+        assert rig.reasons() == ["stuck"]
         assert store.calls == 1
 
 
@@ -258,17 +266,17 @@
     one = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n5"
     head = one.index(b"\r\n\r\n") + 4
     for cut in range(2 * len(one) + 1):
-        with listener() as hop, rig(hop.getsockname()) as at:
-            calls = [at.add("a"), at.add("b")]
+        with listener() as hop, open_rig(hop.getsockname()) as rig:
+            calls = [rig.add("a"), rig.add("b")]
             with accepted(hop) as sock:
-                run_until(at.loop, lambda at=at: len(at.client.connections[0].calls) == 2)  # type: ignore[misc]
+                run_until(rig.loop, lambda rig=rig: len(rig.client.connections[0].calls) == 2)  # type: ignore[misc]
                 read_until(
                     sock,
                     b"b?add=1&ttl_ms=60000 HTTP/1.1\r\nHost: %s:%d\r\nContent-Length: 0\r\n\r\n"
                     % (hop.getsockname()[0].encode(), hop.getsockname()[1]),
                 )
                 sock.sendall((one + one)[:cut])
-            for index, result in enumerate(at.results(*calls)):
+            for index, result in enumerate(rig.results(*calls)):
                 got = cut - index * len(one)
                 assert result.effect is (CallEffect.ADDED if got >= head else CallEffect.UNCERTAIN), (
                     cut,
@@ -278,22 +286,22 @@
 
 
 def test_a_new_address_is_used_at_once_and_open_calls_are_settled_by_their_bytes() -> None:
-    with listener() as old, CounterServer(Store()) as door, rig(old.getsockname()) as at:
-        call = at.add("a")
+    with listener() as old, CounterServer(Store()) as server, open_rig(old.getsockname()) as rig:
+        call = rig.add("a")
         with accepted(old) as sock:
-            run_until(at.loop, lambda: at.client.connections[0].calls)
+            run_until(rig.loop, lambda: rig.client.connections[0].calls)
             read_until(sock, b"\r\n\r\n")
-            at.client.switch_address(door.address)
+            rig.client.switch_address(server.address)
             assert call[0].effect is CallEffect.UNCERTAIN
-            assert at.reasons() == ["moved"]
-            assert at.results(at.add("a"))[0].total == 1.0
+            assert rig.reasons() == ["moved"]
+            assert rig.results(rig.add("a"))[0].total == 1.0
 
 
 def test_no_call_is_lost_when_the_counter_closes_an_idle_connection() -> None:
-    with CounterServer(Store(), idle=0.02) as door, rig(door.address) as at:
-        assert at.results(at.add("a"))[0].total == 1.0
-        run_until(at.loop, lambda: at.reasons() == ["peer_closed"])
-        assert at.results(at.add("a"))[0].total == 2.0
+    with CounterServer(Store(), idle=0.02) as server, open_rig(server.address) as rig:
+        assert rig.results(rig.add("a"))[0].total == 1.0
+        run_until(rig.loop, lambda: rig.reasons() == ["peer_closed"])
+        assert rig.results(rig.add("a"))[0].total == 2.0
 
 
 @given(st.binary(max_size=MAX_BODY_BYTES + 2))
--- a/tests/test_counter_program.py
+++ b/tests/test_counter_program.py
@@ -44,12 +44,12 @@
 
 
 @contextmanager
-def pair(folder: Path, box: Box, door: CounterServer) -> Iterator[list[Ingress]]:
+def pair(folder: Path, box: Box, server: CounterServer) -> Iterator[list[Ingress]]:
     made: list[Ingress] = []
     try:
         for number in range(2):
             path = folder / f"{number}.conf"
-            addresses = [f"{one.address[0]}:{one.address[1]}" for one in (door, box)]
+            addresses = [f"{one.address[0]}:{one.address[1]}" for one in (server, box)]
             path.write_text(FILE % (number, number, *addresses))
             made.append(Ingress(path))
         yield made
@@ -77,27 +77,27 @@
         time.sleep(0.02)
 
 
-def units_in_counter(door: CounterServer, ring_index: int) -> int:
+def units_in_counter(server: CounterServer, ring_index: int) -> int:
     """The highest running count in the counter for a ring index, in units."""
     found = [
         decode_register(b"", ring_index, number.total)
-        for name, number in list(door.store.numbers.items())
+        for name, number in list(server.store.numbers.items())
         if name.endswith(f".{ring_index}")
     ]
     return max((reading.count for reading in found if reading is not None), default=0) // 4
 
 
-def read_by_the_other(door: CounterServer, ring_index: int) -> int:
+def read_by_the_other(server: CounterServer, ring_index: int) -> int:
     """How often the register of a ring index was read, almost always by the other ingress."""
-    with door.store.lock:
-        return sum(count for name, count in door.store.reads.items() if name.endswith(f".{ring_index}"))
+    with server.store.lock:
+        return sum(count for name, count in server.store.reads.items() if name.endswith(f".{ring_index}"))
 
 
 def test_the_counter_enforces_a_quota_over_two_ingresses_without_peer_messages(tmp_path: Path) -> None:
-    with Box() as box, CounterServer(Store()) as door, pair(tmp_path, box, door) as (first, second):
+    with Box() as box, CounterServer(Store()) as server, pair(tmp_path, box, server) as (first, second):
         began = time.monotonic()
         two = served(second, 1, "b")
-        until(lambda: units_in_counter(door, 1) == two == 1)
+        until(lambda: units_in_counter(server, 1) == two == 1)
         one = 0
 
         def most_of_the_burst() -> bool:
@@ -106,9 +106,9 @@
             return one >= 16
 
         until(most_of_the_burst)  # in steps: until the counter is read, the fallback admits four at once
-        until(lambda: units_in_counter(door, 0) == one)
-        before = read_by_the_other(door, 0)
-        until(lambda: read_by_the_other(door, 0) >= before + 3)  # the second ingress has applied the total
+        until(lambda: units_in_counter(server, 0) == one)
+        before = read_by_the_other(server, 0)
+        until(lambda: read_by_the_other(server, 0) >= before + 3)  # the second ingress has applied the total
         two += served(second, 30, "c")
         assert one + two <= 20 + 1 + 0.2 * (time.monotonic() - began)
 
@@ -118,9 +118,9 @@
 ) -> None:
     with (
         Box() as box,
-        CounterServer(Store()) as door,
+        CounterServer(Store()) as server,
         CounterServer(Store()) as other,
-        pair(tmp_path, box, door) as both,
+        pair(tmp_path, box, server) as both,
     ):
         first, second = both
         while time.time() % PERIOD_SECONDS > PERIOD_SECONDS - 6.0:
@@ -128,10 +128,10 @@
                 0.1
             )  # a register is empty at the start of a period, so an emptied one would go unnoticed
         assert served(first, 2, "a") == 2
-        until(lambda: units_in_counter(door, 0) == 2)
+        until(lambda: units_in_counter(server, 0) == 2)
         for one, path in zip(both, ("0.conf", "1.conf"), strict=True):
             text = (tmp_path / path).read_text()
-            moved = text.replace(f":{door.address[1]}\n", f":{other.address[1]}\n")
+            moved = text.replace(f":{server.address[1]}\n", f":{other.address[1]}\n")
             assert moved != text
             (tmp_path / path).write_text(moved)
             one.signal(signal.SIGHUP)
@@ -144,15 +144,15 @@
 
 
 def test_a_restarted_ingress_learns_the_use_of_its_previous_run(tmp_path: Path) -> None:
-    with Box() as box, CounterServer(Store()) as door, pair(tmp_path, box, door) as (first, _):
+    with Box() as box, CounterServer(Store()) as server, pair(tmp_path, box, server) as (first, _):
         assert served(first, 3, "a") == 3
-        until(lambda: units_in_counter(door, 0) == 3)
+        until(lambda: units_in_counter(server, 0) == 3)
         first.process.kill()
         first.process.wait()
         again = Ingress(tmp_path / "0.conf")
         try:
             assert served(again, 1, "b") == 1
-            until(lambda: units_in_counter(door, 0) == 4)  # three of the previous run, and one
+            until(lambda: units_in_counter(server, 0) == 4)  # three of the previous run, and one
         finally:
             again.end()
 
@@ -160,18 +160,18 @@
 def test_a_counter_that_does_not_answer_delays_no_request(tmp_path: Path) -> None:
     with (
         Box() as box,
-        CounterServer(Store(), ServerFaults(cut={0})) as door,
-        pair(tmp_path, box, door) as (first, _),
+        CounterServer(Store(), ServerFaults(cut={0})) as server,
+        pair(tmp_path, box, server) as (first, _),
     ):
         assert served(first, 1, "a") == 1
         first.wait_for_log("end counter silent", 10.0)
 
 
 def test_an_unreachable_counter_is_logged_and_delays_no_request(tmp_path: Path) -> None:
-    with Box() as box, CounterServer(Store()) as door, pair(tmp_path, box, door) as (first, _):
+    with Box() as box, CounterServer(Store()) as server, pair(tmp_path, box, server) as (first, _):
         assert served(first, 1, "a") == 1
-        until(lambda: units_in_counter(door, 0) == 1)
-        door.close()
+        until(lambda: units_in_counter(server, 0) == 1)
+        server.close()
         first.wait_for_log(r"counter: \w+ -> gone", 10.0)
         first.wait_for_log(r"quotas: \w+ -> neither", 10.0)
         assert served(first, 1, "b") == 1
