--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -32,22 +32,22 @@
     """A driver whose module returns the actions set by the test."""
 
     def __init__(self, gateways: int = 1) -> None:
-        self.at = Recorder()
+        self.recorder = Recorder()
         self.sent: list[object] = []
         self.closed_idle: list[str] = []
-        settings = replace(read(config(), self.at.log.append).settings, gateways=gateways)
+        settings = replace(read(config(), self.recorder.log.append).settings, gateways=gateways)
         self.driver = Driver(
-            self.at.loop,
-            self.at.log.append,
+            self.recorder.loop,
+            self.recorder.log.append,
             settings,
             7,
-            self.at.exchange,
+            self.recorder.exchange,
             probe=lambda hop, ended: ended(Result(Outcome.OK)),
             close_idle=self.closed_idle.append,
             send_to_peer=lambda peer, content: self.sent.append((peer, content)),
             fetch_routes=lambda: self.sent.append("fetch"),
         )
-        self.at.exchange.decisions = self.driver
+        self.recorder.exchange.decisions = self.driver
         self.events: list[i.Event] = []
         self.answers: dict[type, list[i.Action]] = {}
         self.fault: type | None = None
@@ -66,26 +66,26 @@
     scripted.fault = i.RequestArrived
     finals: list[object] = []
     request = Request(kind, "plain", "7", 5.0, 1.0, 1, 0, None)
-    scripted.at.exchange.open(request, scripted.at.loop.now(), finals.append)
+    scripted.recorder.exchange.open(request, scripted.recorder.loop.now(), finals.append)
     assert finals == [final]
-    assert "ZeroDivisionError" in scripted.at.log[0]
+    assert "ZeroDivisionError" in scripted.recorder.log[0]
     assert scripted.events[-1] == i.RequestCancelled("1")
     scripted.fault = None
     scripted.answers[i.RequestArrived] = [i.Fail("2")]
-    scripted.at.exchange.open(request, scripted.at.loop.now(), finals.append)
+    scripted.recorder.exchange.open(request, scripted.recorder.loop.now(), finals.append)
     assert finals == [final, Failed("failed")]
-    scripted.at.close()
+    scripted.recorder.close()
 
 
 def test_a_malformed_datagram_does_not_count_as_a_peer_message() -> None:
     scripted = ScriptedDriver(gateways=3)
     del scripted.driver.module.handle
-    began = scripted.at.loop.now()
+    began = scripted.recorder.loop.now()
     scripted.driver.peer_message_received(1, b"garbled")
     assert max(scripted.driver.peers_last_seen()) < began
     scripted.driver.peer_message_received(1, with_checksum(b""))
     assert sum(at >= began for at in scripted.driver.peers_last_seen()) == 1
-    scripted.at.close()
+    scripted.recorder.close()
 
 
 def test_actions_are_carried_out_and_the_events_they_cause_are_queued() -> None:
@@ -103,38 +103,38 @@
     assert scripted.events[2] == i.CounterAnswered(5, i.Outcome.CONNECT_FAILED, 0.0, 0.0)
     assert scripted.closed_idle == ["s-1"]
     assert scripted.sent == [(None, b"x"), "fetch"]
-    run_until(scripted.at.loop, lambda: i.TimerFired(9) in scripted.events)
-    assert "module: text" in scripted.at.log
-    assert any("count 5 has no client" in line for line in scripted.at.log)
-    scripted.at.close()
+    run_until(scripted.recorder.loop, lambda: i.TimerFired(9) in scripted.events)
+    assert "module: text" in scripted.recorder.log
+    assert any("count 5 has no client" in line for line in scripted.recorder.log)
+    scripted.recorder.close()
 
 
 def test_the_latency_of_the_loop_counts_as_waiting_time_of_the_client() -> None:
-    at = Recorder()
+    recorder = Recorder()
     reader, writer = socket.socketpair()
     received: list[float] = []
 
     def wait() -> Coroutine[None]:
         yield IN
-        received.append(at.loop.earliest_arrival)
+        received.append(recorder.loop.earliest_arrival)
 
     def work() -> None:
-        sent.append(at.loop.now())
+        sent.append(recorder.loop.now())
         writer.send(b"x")
         time.sleep(0.02)  # the loop is busy while the byte waits in the kernel
 
     sent: list[float] = []
-    at.loop.spawn(reader.fileno(), wait())
-    at.loop.call_later(0, work)
-    run_until(at.loop, lambda: received)
+    recorder.loop.spawn(reader.fileno(), wait())
+    recorder.loop.call_later(0, work)
+    run_until(recorder.loop, lambda: received)
     assert received[0] <= sent[0]
     reader.close()
     writer.close()
-    at.close()
+    recorder.close()
 
 
 def test_datagrams_that_are_oversize_or_from_unknown_senders_are_dropped() -> None:
-    at = Recorder()
+    recorder = Recorder()
     got: list[tuple[int, bytes]] = []
     with (
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer,
@@ -146,49 +146,54 @@
         known = (("127.0.0.1", 1), peer.getsockname())
         count: list[str] = []
         receive = lambda *m: got.append(m)  # noqa: E731
-        peers = Peers(at.loop, at.log.append, ("127.0.0.1", 0), known, None, 0, receive, count.append)
+        peers = Peers(
+            recorder.loop, recorder.log.append, ("127.0.0.1", 0), known, None, 0, receive, count.append
+        )
         stranger.sendto(b"no", peers.address)
         peer.sendto(b"x" * 257, peers.address)
         peer.sendto(b"x" * 256, peers.address)
-        run_until(at.loop, lambda: got)
+        run_until(recorder.loop, lambda: got)
         assert got == [(1, b"x" * 256)]
-        assert sum(line.startswith("peers: dropped") for line in at.log) == 2
+        assert sum(line.startswith("peers: dropped") for line in recorder.log) == 2
         peers.send_message(1, b"y" * 257)
         peers.send_message(9, b"lost")
         peers.send_message(None, b"all")
         assert peer.recv(300) == b"all"
         assert count == ["peers.dropped", "peers.dropped", "peers.in", "peers.out"]
-    at.close()
+    recorder.close()
 
 
 def test_tally_lines_hold_the_counts_since_the_last_line_and_the_busiest_next_hops() -> None:
-    at = Recorder()
-    tally = Tally(at.loop, at.log.append)
+    recorder = Recorder()
+    tally = Tally(recorder.loop, recorder.log.append)
     tally("taken")
     tally.branch("s-1", "ok")
     tally.open = lambda: {"s-1": 2}
     tally.flush()
     tally.flush()
-    assert at.log == ["tally branch.ok=1 taken=1", "hops s-1=ok:1,open:2", "hops s-1=open:2"]
+    assert recorder.log == ["tally branch.ok=1 taken=1", "hops s-1=ok:1,open:2", "hops s-1=open:2"]
     tally.open = lambda: {f"s-{n}": n for n in range(1, 5000)}
     tally.flush()
-    assert len(at.log[-1].split()) == 1 + MAX_HOPS
-    assert at.log[-1].startswith("hops s-4999=open:4999 ")
-    at.close()
+    assert len(recorder.log[-1].split()) == 1 + MAX_HOPS
+    assert recorder.log[-1].startswith("hops s-4999=open:4999 ")
+    recorder.close()
 
 
 def test_a_silent_watch_is_closed_after_one_missed_keepalive() -> None:
     """One stayed open without data for 8 s: next hops that drained meanwhile got requests past the grace."""
-    at, revisions = Recorder(), [0]
+    recorder, revisions = Recorder(), [0]
 
     def waits() -> float:
         """Seconds until the longest pending timeout of the watch."""
-        return max(when for when, _, timer in at.loop.timers if timer.call is not None) - at.loop.now()
+        return (
+            max(when for when, _, timer in recorder.loop.timers if timer.call is not None)
+            - recorder.loop.now()
+        )
 
     with listener() as agent:
         routes = RouteWatch(
-            at.loop,
-            at.log.append,
+            recorder.loop,
+            recorder.log.append,
             agent.getsockname(),
             (),
             7,
@@ -197,41 +202,43 @@
         )
         routes.connect()
         sock = agent.accept()[0]
-        run_until(at.loop, lambda: select.select([sock], [], [], 0)[0])
+        run_until(recorder.loop, lambda: select.select([sock], [], [], 0)[0])
         read_until(sock, b"\r\n\r\n")
         assert waits() <= 1.5  # a working agent answers at once
         line = b'{"revision": 8, "complete": true, "members": []}\n'
         sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(line), line))
         routes.timing.head_timeout = routes.timing.unavailable_back_off = 4.0
-        run_until(at.loop, lambda: revisions[-1] == 8)
+        run_until(recorder.loop, lambda: revisions[-1] == 8)
         assert (routes.timing.head_timeout, routes.timing.unavailable_back_off) == (
             1.0,
             0.0,
         )  # reset by an answer
         assert 2.0 < waits() <= 3.0  # a keepalive is due every 2 s
-        run_until(at.loop, lambda: any("end routes silent" in line for line in at.log))
+        run_until(recorder.loop, lambda: any("end routes silent" in line for line in recorder.log))
         assert routes.timing.head_timeout == 2.0  # longer for the next one, which may be queued
         sock.close()
     routes.close()
-    at.close()
+    recorder.close()
 
 
 def test_discovery_is_asked_less_often_if_it_refuses_and_waited_for_longer_if_it_is_slow() -> None:
     """Twenty-four ingresses made 600 calls in 26 s: queued calls timed out and were repeated."""
-    at = Recorder()
+    recorder = Recorder()
     with listener() as agent:
-        routes = RouteWatch(at.loop, at.log.append, agent.getsockname(), (), 7, lambda r: None, Random(1))
+        routes = RouteWatch(
+            recorder.loop, recorder.log.append, agent.getsockname(), (), 7, lambda r: None, Random(1)
+        )
         waits: list[float] = []
 
         def refused() -> None:
             routes.connect()
             sock = agent.accept()[0]
-            run_until(at.loop, lambda: bool(select.select([sock], [], [], 0)[0]))
+            run_until(recorder.loop, lambda: bool(select.select([sock], [], [], 0)[0]))
             sock.sendall(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-            lines = len(at.log)
-            run_until(at.loop, lambda: len(at.log) > lines)
+            lines = len(recorder.log)
+            run_until(recorder.loop, lambda: len(recorder.log) > lines)
             assert routes.reconnect_timer is not None
-            waits.append(routes.reconnect_timer.when - at.loop.now())
+            waits.append(routes.reconnect_timer.when - recorder.loop.now())
             routes.reconnect_timer.cancel()
             sock.close()
 
@@ -244,7 +251,7 @@
         routes.move(agent.getsockname())  # another agent starts with the initial timeouts
         assert (routes.timing.head_timeout, routes.timing.unavailable_back_off) == (1.0, 0.0)
     routes.close()
-    at.close()
+    recorder.close()
 
 
 def test_route_sets_keep_the_members_that_can_be_parsed() -> None:
@@ -297,11 +304,11 @@
     scripted.driver.module.handle = handle  # type: ignore[method-assign]
     scripted.answers[i.RequestArrived] = [i.SetTimer(0.25, 7)]
     request = Request("look", "plain", "7", 5.0, 1.0, 1, 0, None)
-    opened = scripted.at.exchange.open(request, scripted.at.loop.now(), lambda final: None)
-    due = next(when for when, _, timer in scripted.at.loop.timers if timer.args == (7,))
+    opened = scripted.recorder.exchange.open(request, scripted.recorder.loop.now(), lambda final: None)
+    due = next(when for when, _, timer in scripted.recorder.loop.timers if timer.args == (7,))
     arrived = next(event for event in scripted.events if isinstance(event, i.RequestArrived))
     assert due - 0.25 == pytest.approx(opened.deadline - arrived.time_left, abs=1e-6)
-    scripted.at.close()
+    scripted.recorder.close()
 
 
 HOUR = 3600.0
@@ -349,11 +356,11 @@
     assert isinstance(listed, i.BackendsListed)
     started = listed.entries[0].started
     assert started is not None
-    age = scripted.at.loop.now() + scripted.driver.clock_offset - started
+    age = scripted.recorder.loop.now() + scripted.driver.clock_offset - started
     assert age == pytest.approx(9.0, abs=1.0)
     scripted.driver.routes_updated(RouteSet(2, False, (gone,)))
     assert scripted.driver.start_times.known == {}
-    scripted.at.close()
+    scripted.recorder.close()
 
 
 @pytest.mark.parametrize("step", [3600.0, -3600.0, 0.0])
@@ -369,18 +376,18 @@
     older = ScriptedDriver()
     module = older.driver.module
     spent = module.quota_of(b"12345", next(iter(module.plans.values())), 0, 1)
-    spent.drained_at, spent.own = older.at.loop.now() + older.driver.clock_offset, spent.plan.burst
-    began = older.at.loop.now()
+    spent.drained_at, spent.own = older.recorder.loop.now() + older.driver.clock_offset, spent.plan.burst
+    began = older.recorder.loop.now()
     state = json.loads(json.dumps(older.driver.export_state()))
     wall = time.time
     monkeypatch.setattr(time, "time", lambda: wall() + step)
     newer = ScriptedDriver()
     newer.driver.import_state(state)
     module = newer.driver.module
-    module.now = newer.at.loop.now() + newer.driver.clock_offset
+    module.now = newer.recorder.loop.now() + newer.driver.clock_offset
     imported = module.quotas[b"12345"]
     module._drain(imported)
-    drained = spent.plan.rate * (newer.at.loop.now() - began)
+    drained = spent.plan.rate * (newer.recorder.loop.now() - began)
     assert imported.own == pytest.approx(spent.plan.burst - drained, abs=0.1)
-    older.at.close()
-    newer.at.close()
+    older.recorder.close()
+    newer.recorder.close()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -93,31 +93,38 @@
         return False
 
 
-def ask(at: Recorder, kind: str, finals: list[object]) -> Any:
-    return at.exchange.open(Request(kind, "plain", "7", 5.0, 1.0, 1, 0, None), at.loop.now(), finals.append)
+def ask(recorder: Recorder, kind: str, finals: list[object]) -> Any:
+    return recorder.exchange.open(
+        Request(kind, "plain", "7", 5.0, 1.0, 1, 0, None), recorder.loop.now(), finals.append
+    )
 
 
 def test_an_open_request_keeps_its_class_and_the_smaller_number_of_attempts() -> None:
-    at, finals = Recorder(), list[object]()
-    at.exchange.next_hops = Silent()
-    at.exchange.reconfigure({"look": True, "change": False}, 3)
-    at.exchange.finish_reconfigure()
-    safe, unsafe = ask(at, "look", finals), ask(at, "change", finals)
-    assert at.exchange.reconfigure({"look": False, "new": True}, 9) == {"look": True, "change": False}
-    assert at.exchange.safe_flags("look") == {True, False}
-    late = ask(at, "look", finals)  # the client may know the new file or not
-    at.exchange.finish_reconfigure()
-    assert (safe.safe, unsafe.safe, late.safe, ask(at, "new", finals).safe) == (True, False, False, True)
+    recorder, finals = Recorder(), list[object]()
+    recorder.exchange.next_hops = Silent()
+    recorder.exchange.reconfigure({"look": True, "change": False}, 3)
+    recorder.exchange.finish_reconfigure()
+    safe, unsafe = ask(recorder, "look", finals), ask(recorder, "change", finals)
+    assert recorder.exchange.reconfigure({"look": False, "new": True}, 9) == {"look": True, "change": False}
+    assert recorder.exchange.safe_flags("look") == {True, False}
+    late = ask(recorder, "look", finals)  # the client may know the new file or not
+    recorder.exchange.finish_reconfigure()
+    assert (safe.safe, unsafe.safe, late.safe, ask(recorder, "new", finals).safe) == (
+        True,
+        False,
+        False,
+        True,
+    )
     with pytest.raises(InvalidRequestError, match="unknown class"):
-        ask(at, "change", finals)
+        ask(recorder, "change", finals)
     for transaction, sent in ((safe, 3), (unsafe, 1)):
         for _ in range(5):
-            branch = at.exchange.send(transaction.name, "s-1", None)
+            branch = recorder.exchange.send(transaction.name, "s-1", None)
             assert branch is not None
             if branch.outcome is None:
-                at.exchange.branch_ended(branch, Result(Outcome.TIMEOUT))
+                recorder.exchange.branch_ended(branch, Result(Outcome.TIMEOUT))
         assert sum(b.outcome is Outcome.TIMEOUT for b in transaction.branches) == sent
-    at.close()
+    recorder.close()
 
 
 def kinds(*names: str, **changes: Any) -> tuple[i.RequestClass, ...]:
@@ -183,7 +190,7 @@
                 if read_until(client, b"\r\n") == b"-ERR unknown class\r\n":
                     break
             with listener() as agent, listener() as other:  # two files, one soon after the other
-                moved = [good | {"discovery": "{}:{}".format(*at.getsockname())} for at in (agent, other)]
+                moved = [good | {"discovery": "{}:{}".format(*sock.getsockname())} for sock in (agent, other)]
                 moved[1]["settings"]["Caps"]["TryLimit"] = 2
                 for number, file in enumerate(moved):
                     path.write_text(json.dumps(file))
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -203,25 +203,25 @@
 
 def test_no_request_has_a_deadline_after_the_last_answers_of_a_shutdown() -> None:
     """Neither an open one nor a new one: the deadlines of their attempts follow from it."""
-    at = Recorder()
-    now = at.loop.now()
-    before = at.exchange.open(request("a", 60.0), now, lambda final: None)
-    short = at.exchange.open(request("b", 0.2), now, lambda final: None)
-    at.exchange.set_final_deadline(now + 1.0)
-    late = at.exchange.open(request("c", 60.0), now, lambda final: None)
+    recorder = Recorder()
+    now = recorder.loop.now()
+    before = recorder.exchange.open(request("a", 60.0), now, lambda final: None)
+    short = recorder.exchange.open(request("b", 0.2), now, lambda final: None)
+    recorder.exchange.set_final_deadline(now + 1.0)
+    late = recorder.exchange.open(request("c", 60.0), now, lambda final: None)
     assert (before.deadline, short.deadline, late.deadline) == (now + 1.0, now + 0.2, now + 1.0)
-    at.close()
+    recorder.close()
 
 
 def test_a_request_after_the_last_answers_is_refused_and_not_opened() -> None:
     """If the loop is late, it may read a request before the overdue timer runs."""
-    at = Recorder()
-    at.exchange.set_final_deadline(at.loop.now())
+    recorder = Recorder()
+    recorder.exchange.set_final_deadline(recorder.loop.now())
     finals: list[object] = []
-    at.exchange.open(request("a", 60.0), at.loop.now(), finals.append)
+    recorder.exchange.open(request("a", 60.0), recorder.loop.now(), finals.append)
     assert finals == [Refused(0.25)]
-    assert at.opened == []
-    at.close()
+    assert recorder.opened == []
+    recorder.close()
 
 
 @pytest.mark.parametrize("delay", [0.0, 0.03, 0.06, 0.1, 0.15, 0.25])
@@ -317,41 +317,41 @@
 
 def test_clients_that_wait_to_be_accepted_are_not_reset_with_the_listener() -> None:
     """All connections are in use when the listener should close: it waits until all clients are accepted."""
-    at = Recorder()
-    side = ClientSide(at.loop, at.log.append, at.exchange, ("127.0.0.1", 0), 2)
+    recorder = Recorder()
+    side = ClientSide(recorder.loop, recorder.log.append, recorder.exchange, ("127.0.0.1", 0), 2)
     side.start_serving()
     clients = [socket.create_connection(side.address) for _ in range(3)]
     for number, client in enumerate(clients):
         client.settimeout(LIMIT)
         client.sendall(command(f"aa{number:02}", d=60_000))
-    run_until(at.loop, lambda: len(at.opened) == 2 and side.waiting_since is not None)
+    run_until(recorder.loop, lambda: len(recorder.opened) == 2 and side.waiting_since is not None)
     side.stop()
     assert side.listener is not None
-    at.exchange.refuse(at.opened[0].name, None)
-    run_until(at.loop, lambda: len(at.opened) == 3)
-    at.exchange.refuse(at.opened[2].name, None)
-    run_until(at.loop, lambda: len(side.connections) == 1)
+    recorder.exchange.refuse(recorder.opened[0].name, None)
+    run_until(recorder.loop, lambda: len(recorder.opened) == 3)
+    recorder.exchange.refuse(recorder.opened[2].name, None)
+    run_until(recorder.loop, lambda: len(side.connections) == 1)
     assert read_until(clients[2], b"\r\n") == b"-BUSY\r\n"
-    run_until(at.loop, lambda: side.listener is None)
+    run_until(recorder.loop, lambda: side.listener is None)
     for client in clients:
         client.close()
-    at.close()
+    recorder.close()
 
 
 def test_all_requests_are_answered_before_the_module_is_notified_of_the_first(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It visits all backends for each request: with many of them the last answers would come too late."""
-    at = Recorder()
+    recorder = Recorder()
     finals: list[object] = []
     answered_before: list[int] = []
-    monkeypatch.setattr(at, "transaction_gone", lambda transaction: answered_before.append(len(finals)))
+    monkeypatch.setattr(recorder, "transaction_gone", lambda transaction: answered_before.append(len(finals)))
     for number in range(5):
-        at.exchange.open(request(f"{number}", 60.0), at.loop.now(), finals.append)
-    left = at.exchange.abandon_all()
+        recorder.exchange.open(request(f"{number}", 60.0), recorder.loop.now(), finals.append)
+    left = recorder.exchange.abandon_all()
     assert [transaction.request.ident for transaction in left] == ["0", "1", "2", "3", "4"]
     assert answered_before == [5] * 5
-    at.close()
+    recorder.close()
 
 
 def test_the_log_of_a_shutdown_shows_its_steps_and_the_requests_answered_at_its_end(tmp_path: Path) -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -344,7 +344,7 @@
     (own,), (other,) = old.module.quotas.values(), new.module.quotas.values()
     assert own.counts[0] == other.counts[0] == 3 * COUNTS_PER_UNIT
     for one in scripted:
-        one.at.loop.epoll.close()
+        one.recorder.loop.epoll.close()
 
 
 def test_ejections_and_cold_credit_are_handed_over_and_returned_when_the_new_process_dies() -> None:
