--- a/lab/bench_counter.py
+++ b/lab/bench_counter.py
@@ -126,7 +126,7 @@
 
     def __init__(self, site: Site, number: int, arrivals: list[tuple[float, str]]) -> None:
         self.site, self.number, self.arrivals = site, number, arrivals
-        self.tries: list[TenantRequest] = []
+        self.results: list[TenantRequest] = []
         self.unanswered = 0
         self.thread = threading.Thread(target=self._run, daemon=True)
 
@@ -148,9 +148,9 @@
                 if sock is not None:
                     sock.close()
                 sock = None
-            result = reply_outcome(answer)
-            if result in ("served", "refused"):
-                self.tries.append(TenantRequest(time.monotonic() - begin, tenant, 1.0, result == "served"))
+            outcome = reply_outcome(answer)
+            if outcome in ("served", "refused"):
+                self.results.append(TenantRequest(time.monotonic() - begin, tenant, 1.0, outcome == "served"))
             else:
                 self.unanswered += 1
         if sock is not None:
@@ -161,9 +161,9 @@
     """For each ingress: the times and tenants of its requests."""
     arrivals: list[list[tuple[float, str]]] = [[] for _ in range(INGRESSES)]
     kinds = [(f"heavy{n}", 2.0) for n in range(3)] + [(f"spiky{n}", 1.5) for n in range(3)]
-    for tenant, part in kinds + [(f"calm{n}", 0.3) for n in range(6)]:
+    for tenant, rate_factor in kinds + [(f"calm{n}", 0.3) for n in range(6)]:
         at = 0.0
-        while (at := at + rng.expovariate(part * PLAN_RATE)) < SPAN_SECONDS:
+        while (at := at + rng.expovariate(rate_factor * PLAN_RATE)) < SPAN_SECONDS:
             # spiky tenants send their requests of three seconds within the first of them
             when = at - at % 3 + (at % 3) / 3 if tenant.startswith("spiky") else at
             arrivals[rng.choices(range(INGRESSES), INGRESS_WEIGHTS)[0]].append((when, tenant))
@@ -178,8 +178,8 @@
     ring: bool = True
     reconcile: bool = True
     inject: Callable[[Site], None] = lambda site: None
-    wrong: float = 0.02  # share of the requests within quota that may be refused
-    unanswered: int = 0
+    max_refused_share: float = 0.02  # share of the requests within quota that may be refused
+    max_unanswered: int = 0
     loss: float = 0.0  # share of the datagrams
 
 
@@ -253,28 +253,39 @@
     Case("ring-and-emptied", inject=empty_counter),
     Case("ring-and-answers-lost", inject=set_counter_faults(drop_share=0.5)),
     Case("ring-and-answers-spoilt", inject=set_counter_faults(corrupt_share=0.3)),
-    Case("ring-and-restart", inject=Site.restart, unanswered=RESTART_UNANSWERED),
-    Case("restart-with-ring-alone", reconcile=False, inject=Site.restart, unanswered=RESTART_UNANSWERED),
+    Case("ring-and-restart", inject=Site.restart, max_unanswered=RESTART_UNANSWERED),
+    Case("restart-with-ring-alone", reconcile=False, inject=Site.restart, max_unanswered=RESTART_UNANSWERED),
     Case("ring-loses-7-of-100", loss=0.065, reconcile=False),
-    Case("silent-ring", inject=cut_ring, wrong=0.1),
-    Case("silent-ring-and-slow-70ms", inject=cut_ring_and(set_counter_faults(delay=0.07)), wrong=0.1),
-    Case("silent-ring-and-gone", inject=cut_ring_and(close_counter), wrong=0.1),
-    Case("silent-ring-and-part-cut", inject=cut_ring_and(cut_counter_part), wrong=0.1),
-    Case("silent-ring-and-two-counters", inject=cut_ring_and(split_counters), wrong=0.1),
-    Case("silent-ring-and-emptied", inject=cut_ring_and(empty_counter), wrong=0.1),
-    Case("silent-ring-and-answers-lost", inject=cut_ring_and(set_counter_faults(drop_share=0.5)), wrong=0.1),
+    Case("silent-ring", inject=cut_ring, max_refused_share=0.1),
+    Case(
+        "silent-ring-and-slow-70ms",
+        inject=cut_ring_and(set_counter_faults(delay=0.07)),
+        max_refused_share=0.1,
+    ),
+    Case("silent-ring-and-gone", inject=cut_ring_and(close_counter), max_refused_share=0.1),
+    Case("silent-ring-and-part-cut", inject=cut_ring_and(cut_counter_part), max_refused_share=0.1),
+    Case("silent-ring-and-two-counters", inject=cut_ring_and(split_counters), max_refused_share=0.1),
+    Case("silent-ring-and-emptied", inject=cut_ring_and(empty_counter), max_refused_share=0.1),
+    Case(
+        "silent-ring-and-answers-lost",
+        inject=cut_ring_and(set_counter_faults(drop_share=0.5)),
+        max_refused_share=0.1,
+    ),
     Case(
         "silent-ring-and-answers-spoilt",
         inject=cut_ring_and(set_counter_faults(corrupt_share=0.3)),
-        wrong=0.1,
+        max_refused_share=0.1,
     ),
     Case(
-        "silent-ring-and-restart", inject=cut_ring_and(Site.restart), wrong=0.1, unanswered=RESTART_UNANSWERED
+        "silent-ring-and-restart",
+        inject=cut_ring_and(Site.restart),
+        max_refused_share=0.1,
+        max_unanswered=RESTART_UNANSWERED,
     ),
-    Case("one-cut-off-from-the-ring", inject=cut_off_from_ring, wrong=0.1),
-    Case("one-cut-off-from-both", inject=cut_off_from_ring_and_counter, wrong=0.1),
-    Case("counter-alone", ring=False, wrong=0.1),
-    Case("neither", ring=False, reconcile=False, wrong=0.1),
+    Case("one-cut-off-from-the-ring", inject=cut_off_from_ring, max_refused_share=0.1),
+    Case("one-cut-off-from-both", inject=cut_off_from_ring_and_counter, max_refused_share=0.1),
+    Case("counter-alone", ring=False, max_refused_share=0.1),
+    Case("neither", ring=False, reconcile=False, max_refused_share=0.1),
 )
 
 
@@ -291,12 +302,12 @@
         for one in loads:
             one.thread.join(SPAN_SECONDS + 10.0)
             assert not one.thread.is_alive()  # an incomplete history would prove nothing
-        tries = [one for load in loads for one in load.tries]
+        results = [one for load in loads for one in load.results]
         unanswered = sum(load.unanswered for load in loads)
         return (
-            evaluate_quotas(tries, PLAN_RATE, PLAN_BURST),
+            evaluate_quotas(results, PLAN_RATE, PLAN_BURST),
             unanswered,
-            site.store.calls / max(1, len(tries)),
+            site.store.calls / max(1, len(results)),
         )
 
 
@@ -305,16 +316,21 @@
     with ThreadPoolExecutor(PARALLEL_CASES) as pool:
         for case, (verdict, unanswered, calls) in zip(cases, pool.map(run_case, cases), strict=True):
             report.print_figure(f"{case.name}_use", verdict.use, "of_allowance", "<=1.1")
-            report.print_figure(f"{case.name}_wrong", verdict.refused_share, "of_inside", f"<={case.wrong}")
             report.print_figure(
-                f"{case.name}_wrong_calm", verdict.compliant_refused_share, "of_inside", f"<={case.wrong}"
+                f"{case.name}_wrong", verdict.refused_share, "of_inside", f"<={case.max_refused_share}"
+            )
+            report.print_figure(
+                f"{case.name}_wrong_calm",
+                verdict.compliant_refused_share,
+                "of_inside",
+                f"<={case.max_refused_share}",
             )
-            report.print_figure(f"{case.name}_unanswered", unanswered, "count", f"<={case.unanswered}")
+            report.print_figure(f"{case.name}_unanswered", unanswered, "count", f"<={case.max_unanswered}")
             if case.reconcile:
                 report.print_figure(f"{case.name}_calls", calls, "per_request")
 
 
-def cost(report: Report) -> None:
+def measure_cpu(report: Report) -> None:
     """Processor time per request with and without reconciliation, measured at the same time."""
     spent: dict[str, float] = {}
     with Site(True, "witness {\n}\n") as on, Site(True, "") as off:
@@ -343,7 +359,7 @@
     report.print_figure("cpu_on_over_off", spent["on"] / spent["off"], "ratio", "<=1.1")
 
 
-def memory(report: Report) -> None:
+def measure_memory(report: Report) -> None:
     """Memory of a window with many tenants, in the gateway and, with reconciliation, in the ledger."""
     spawn = multiprocessing.get_context("spawn")
     for tenants, epoch_bound_ms in ((TENANTS_PER_CORE, 40), (MANY_TENANTS, 250)):
@@ -405,9 +421,9 @@
     if cases:
         run_cases(report, cases)
     if not parts or "cost" in parts:
-        cost(report)
+        measure_cpu(report)
     if not parts or "memory" in parts:
-        memory(report)
+        measure_memory(report)
     return report.status
 
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -95,12 +95,8 @@
         last_received,
     )
     reconciliation.offset, reconciliation.client = 0.0, SimpleNamespace(add=lambda *_: None)  # type: ignore[assignment]
-    for total in (
-        0,
-        400,
-        450,
-        350,
-    ):  # read, written, then above and below the number written by its only writer
+    # read, written, then above and below the number written by its only writer
+    for total in (0, 400, 450, 350):
         reconciliation.record_use(b"k", 2, 0, 4, 0.0, 1.0)
         for call in reconciliation.ledger.due_calls(clock[0], 10, 0.0):
             reconciliation._finish_call(
--- a/tests/test_witness.py
+++ b/tests/test_witness.py
@@ -22,10 +22,14 @@
     def deliver(self, sender: int, actions: list[i.Action]) -> None:
         if self.ring:
             super().deliver(sender, actions)
-        for note in actions_of(actions, i.UseReported):
-            self.registers[note.tenant_key, note.ring_index] = note
+        for report in actions_of(actions, i.UseReported):
+            self.registers[report.tenant_key, report.ring_index] = report
             for (key, ring_index), register in sorted(self.registers.items()):
-                if self.reconciliation_readable and key == note.tenant_key and ring_index != note.ring_index:
+                if (
+                    self.reconciliation_readable
+                    and key == report.tenant_key
+                    and ring_index != report.ring_index
+                ):
                     self.gateways[sender].handle(
                         self.now, i.UseObserved(key, ring_index, register.count, register.level)
                     )
@@ -102,11 +106,11 @@
 
 def test_without_reconciliation_no_use_is_reported() -> None:
     network = PeerNetwork()
-    noted: list[i.Action] = []
+    reports: list[i.Action] = []
     network.submit(0, "a")
     network.now += network.gateways[0].epoch
-    noted += actions_of(network.gateways[0].handle(network.now, i.TimerFired(0)), i.UseReported)
-    assert not noted
+    reports += actions_of(network.gateways[0].handle(network.now, i.TimerFired(0)), i.UseReported)
+    assert not reports
 
 
 def test_an_epoch_reports_the_most_utilized_quotas_and_idle_ones_are_evicted() -> None:
@@ -116,27 +120,27 @@
         event = request(f"r{n}", tenant=f"c{n}", units=units, ring_size=2)
         for send in sends(gateway.handle(0.0, event)):
             gateway.handle(0.0, ended(send, i.Outcome.OK))
-    notes = actions_of(gateway.handle(0.1, i.TimerFired(0)), i.UseReported)
-    assert len(notes) == MAX_PER_EPOCH
-    assert notes[0].level > 0.3 > max(note.level for note in notes[1:])
+    reports = actions_of(gateway.handle(0.1, i.TimerFired(0)), i.UseReported)
+    assert len(reports) == MAX_PER_EPOCH
+    assert reports[0].level > 0.3 > max(report.level for report in reports[1:])
     gateway.handle(IDLE_QUOTA_SECONDS + 1, i.TimerFired(0))
     assert (gateway.quotas, gateway.unreported, gateway.unreconciled) == ({}, {}, {})
 
 
-@pytest.mark.parametrize(("speaking", "fits"), [((1, 2), 7), ((1,), 4), ((), 3)])
+@pytest.mark.parametrize(("heard_from", "admissible"), [((1, 2), 7), ((1,), 4), ((), 3)])
 def test_units_are_reserved_for_silent_members_since_their_last_observed_use(
-    speaking: tuple[int, ...], fits: int
+    heard_from: tuple[int, ...], admissible: int
 ) -> None:
     gateway = started(counter_reconciliation=True, gateways=3)
     gateway.handle(0.0, request("first", ring_size=3))
     quota = next(iter(gateway.quotas.values()))
     now = 10.0
     gateway.handle(now, i.UseObserved(quota.key, 2, 8, 0.2))  # 2 units of a burst of 10
-    for sender in speaking:
+    for sender in heard_from:
         gateway.handle(now, i.PeerMessage(sender, with_checksum(b"")))
     served = 0
     for n in range(12):
         for send in sends(gateway.handle(now, request(f"{n}", ring_size=3))):
             gateway.handle(now, ended(send, i.Outcome.OK))
             served += 1
-    assert served == fits
+    assert served == admissible
