--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -219,9 +219,8 @@
     with open_rig(address) as rig:
         assert rig.results(rig.add("a"))[0].effect is CallEffect.NOT_ADDED
         assert rig.reasons() == ["connect_failed:ECONNREFUSED"]
-    with (
-        socket.socket() as full
-    ):  # the connection is never established; the call times out and is not sent later
+    # The connection is never established; the call times out and is not sent later.
+    with socket.socket() as full:
         full.bind(("127.0.0.1", 0))
         full.listen(0)
         queued = [socket.socket() for _ in range(3)]
--- a/tests/test_counter_program.py
+++ b/tests/test_counter_program.py
@@ -113,9 +113,7 @@
         assert one + two <= 20 + 1 + 0.2 * (time.monotonic() - began)
 
 
-def test_after_a_reload_to_an_empty_counter_the_use_is_written_to_it(
-    tmp_path: Path,
-) -> None:
+def test_after_a_reload_to_an_empty_counter_the_use_is_written_to_it(tmp_path: Path) -> None:
     with (
         Box() as box,
         CounterServer(Store()) as server,
@@ -124,9 +122,8 @@
     ):
         first, second = both
         while time.time() % PERIOD_SECONDS > PERIOD_SECONDS - 6.0:
-            time.sleep(
-                0.1
-            )  # a register is empty at the start of a period, so an emptied one would go unnoticed
+            # a register is empty at the start of a period, so an emptied one would go unnoticed
+            time.sleep(0.1)
         assert served(first, 2, "a") == 2
         until(lambda: units_in_counter(server, 0) == 2)
         for one, path in zip(both, ("0.conf", "1.conf"), strict=True):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -228,9 +228,8 @@
     run_until(loop, lambda: "old begins" in events)
     monkeypatch.setattr(time, "time", lambda: wall() + step)
     last_heartbeat = old.written_at
-    run_until(
-        loop, lambda: old.written_at > last_heartbeat + 2 * HEARTBEAT_SECONDS
-    )  # its heartbeats continue
+    # its heartbeats continue
+    run_until(loop, lambda: old.written_at > last_heartbeat + 2 * HEARTBEAT_SECONDS)
     new = part("new")
     run_until(loop, lambda: "new adds 2" in events)
     monkeypatch.setattr(time, "time", wall)
